--- a/Source/Core/Cluster/ClusterNode.cpp
+++ b/Source/Core/Cluster/ClusterNode.cpp
@@ -51,10 +51,10 @@
     return parts_->takeEffects();
 }
 
-Effects ClusterNode::configurationJudged(Common::ConfigurationNumber number,
-                                         const Common::Result<void> &verdict, Common::Time now)
+Effects ClusterNode::configurationValidated(Common::ConfigurationNumber number,
+                                            const Common::Result<void> &verdict, Common::Time now)
 {
-    parts_->configurationJudged(number, verdict, now);
+    parts_->configurationValidated(number, verdict, now);
     return parts_->takeEffects();
 }
 
--- a/Source/Core/Cluster/ClusterNode.h
+++ b/Source/Core/Cluster/ClusterNode.h
@@ -51,8 +51,8 @@
     Effects configurationUnchanged(Common::Time now);
     Effects configurationReadFailed(Common::Time now);
     /// The answer to ValidateConfiguration: a value puts the version in force.
-    Effects configurationJudged(Common::ConfigurationNumber number,
-                                const Common::Result<void> &verdict, Common::Time now);
+    Effects configurationValidated(Common::ConfigurationNumber number,
+                                   const Common::Result<void> &verdict, Common::Time now);
 
     /// Tells all that this instance leaves. It goes on answering until it is stopped.
     Effects announceLeaving(Common::Time now);
--- a/Source/Core/Cluster/Effects.h
+++ b/Source/Core/Cluster/Effects.h
@@ -35,7 +35,7 @@
     Common::milliseconds pause{0};
 };
 
-/// Whether this version may be put in force is to be answered by configurationJudged().
+/// Whether this version may be put in force is to be answered by configurationValidated().
 struct ValidateConfiguration
 {
     Common::ConfigurationNumber number = 0;
--- a/Source/Core/Cluster/NodeParts.cpp
+++ b/Source/Core/Cluster/NodeParts.cpp
@@ -105,8 +105,8 @@
     watch.failed(now);
 }
 
-void ClusterNode::Parts::configurationJudged(Common::ConfigurationNumber number,
-                                             const Common::Result<void> &verdict, Common::Time)
+void ClusterNode::Parts::configurationValidated(Common::ConfigurationNumber number,
+                                                const Common::Result<void> &verdict, Common::Time)
 {
     const auto before = store.digest();
     store.judged(number, verdict, effects_);
--- a/Source/Core/Cluster/NodeParts.h
+++ b/Source/Core/Cluster/NodeParts.h
@@ -11,7 +11,7 @@
 #include "Cluster/ConfigurationWatch.h"
 #include "Cluster/FailureDetector.h"
 #include "Cluster/Membership.h"
-#include "Cluster/NoticeBoard.h"
+#include "Cluster/NoticeTable.h"
 #include "Cluster/RegionDirectory.h"
 
 namespace LaburnumChute::Cluster {
@@ -30,8 +30,8 @@
     void configurationRead(const ConfigurationVersion &version, Common::Time now);
     void configurationUnchanged(Common::Time now);
     void configurationReadFailed(Common::Time now);
-    void configurationJudged(Common::ConfigurationNumber number,
-                             const Common::Result<void> &verdict, Common::Time now);
+    void configurationValidated(Common::ConfigurationNumber number,
+                                const Common::Result<void> &verdict, Common::Time now);
     void announceLeaving(Common::Time now);
     void publishNotice(const Notice &notice, Common::Time now);
     Effects takeEffects();
@@ -43,7 +43,7 @@
     ClusterOptions options;
     Membership membership;
     FailureDetector detector;
-    NoticeBoard notices;
+    NoticeTable notices;
     RegionDirectory directory;
     ConfigurationStore store;
     ConfigurationFetch fetch;
--- a/Source/Core/Cluster/NoticeBoard.cpp
+++ b/Source/Core/Cluster/NoticeTable.cpp
@@ -1,4 +1,4 @@
-#include "Cluster/NoticeBoard.h"
+#include "Cluster/NoticeTable.h"
 
 #include <algorithm>
 
@@ -16,12 +16,12 @@
 
 } // namespace
 
-NoticeBoard::NoticeBoard(std::size_t maxNotices)
+NoticeTable::NoticeTable(std::size_t maxNotices)
     : maxNotices_(maxNotices)
 {
 }
 
-bool NoticeBoard::apply(const Notice &notice, Common::Time now)
+bool NoticeTable::apply(const Notice &notice, Common::Time now)
 {
     if (notice.lifetime < LeastLifetime) {
         return false;
@@ -41,7 +41,7 @@
     return true;
 }
 
-void NoticeBoard::expire(Common::Time now)
+void NoticeTable::expire(Common::Time now)
 {
     for (auto it = entries_.begin(); it != entries_.end();) {
         const auto next = std::next(it);
@@ -52,7 +52,7 @@
     }
 }
 
-std::vector<Notice> NoticeBoard::all(Common::Time now) const
+std::vector<Notice> NoticeTable::all(Common::Time now) const
 {
     std::vector<Notice> notices;
     for (const auto &[key, entry] : entries_) {
@@ -65,7 +65,7 @@
     return notices;
 }
 
-std::vector<Notice> NoticeBoard::sample(std::size_t maxBytes, std::mt19937_64 &random,
+std::vector<Notice> NoticeTable::sample(std::size_t maxBytes, std::mt19937_64 &random,
                                         Common::Time now) const
 {
     std::vector<Notice> notices = all(now);
@@ -80,25 +80,25 @@
     return notices;
 }
 
-const Notice *NoticeBoard::find(NoticeKind kind, const std::string &subject) const
+const Notice *NoticeTable::find(NoticeKind kind, const std::string &subject) const
 {
     const auto it = entries_.find({kind, subject});
     return it == entries_.end() ? nullptr : &it->second.notice;
 }
 
-std::uint64_t NoticeBoard::hashOf(const Notice &notice)
+std::uint64_t NoticeTable::hashOf(const Notice &notice)
 {
     const auto seed = notice.version * 4 + static_cast<std::uint64_t>(notice.kind);
     return Common::stableHash(notice.subject, seed);
 }
 
-void NoticeBoard::erase(std::map<Key, Entry>::iterator it)
+void NoticeTable::erase(std::map<Key, Entry>::iterator it)
 {
     hash_ ^= hashOf(it->second.notice);
     entries_.erase(it);
 }
 
-void NoticeBoard::makeRoom()
+void NoticeTable::makeRoom()
 {
     if (entries_.size() < maxNotices_) {
         return;
--- a/Source/Core/Cluster/NoticeBoard.h
+++ b/Source/Core/Cluster/NoticeTable.h
@@ -13,10 +13,10 @@
 
 /// The notices in force. It holds a bounded number: when full it drops the one that would expire
 /// first, so that a flood of notices costs memory of a known size.
-class NoticeBoard
+class NoticeTable
 {
 public:
-    explicit NoticeBoard(std::size_t maxNotices);
+    explicit NoticeTable(std::size_t maxNotices);
 
     /// True when the notice was not known or is newer than the one held.
     bool apply(const Notice &notice, Common::Time now);
--- a/Source/Core/Cluster/OrderCoordinator.cpp
+++ b/Source/Core/Cluster/OrderCoordinator.cpp
@@ -121,7 +121,7 @@
     highestFence_ = std::max(highestFence_ + 1, Common::toUnixMilliseconds(wallNow));
     engine.phase = Phase::Ordering;
     engine.deadline = now + options_.answerTimeout;
-    return {GiveOrder{engine.desired.endpoint, *order, highestFence_}};
+    return {SendOrder{engine.desired.endpoint, *order, highestFence_}};
 }
 
 bool OrderCoordinator::mayReload(const Engine &engine, const EngineState &state,
--- a/Source/Core/Cluster/OrderCoordinator.h
+++ b/Source/Core/Cluster/OrderCoordinator.h
@@ -38,7 +38,7 @@
 };
 
 /// Give the order and report by orderAnswered().
-struct GiveOrder
+struct SendOrder
 {
     Common::EndpointId endpoint;
     EngineOrder order;
@@ -51,7 +51,7 @@
     Common::EndpointId endpoint;
 };
 
-using OrderEffect = std::variant<ReadEngineState, GiveOrder, ForeignOrders>;
+using OrderEffect = std::variant<ReadEngineState, SendOrder, ForeignOrders>;
 using OrderEffects = std::vector<OrderEffect>;
 
 struct OrderAccepted
--- a/Source/Core/Gateway/ClusterRunner.cpp
+++ b/Source/Core/Gateway/ClusterRunner.cpp
@@ -330,11 +330,11 @@
     const auto parsed = Configuration::parse(effect.content);
     const auto now = std::chrono::steady_clock::now();
     if (!parsed) {
-        carryOut(node_.configurationJudged(effect.number, tl::unexpected(parsed.error()), now));
+        carryOut(node_.configurationValidated(effect.number, tl::unexpected(parsed.error()), now));
         return;
     }
     validated_ = {effect.number, *parsed};
-    carryOut(node_.configurationJudged(effect.number, {}, now));
+    carryOut(node_.configurationValidated(effect.number, {}, now));
 }
 
 void ClusterRunner::carryOut(const Cluster::ConfigurationAdopted &effect)
--- a/Source/Core/Gateway/OrderRunner.cpp
+++ b/Source/Core/Gateway/OrderRunner.cpp
@@ -35,7 +35,7 @@
     return "set_role";
 }
 
-std::string bodyOf(const Cluster::GiveOrder &order)
+std::string bodyOf(const Cluster::SendOrder &order)
 {
     const json body = {{"fence", order.fence},
                        {"action", nameOf(order.order.action)},
@@ -177,7 +177,7 @@
         if (const auto *read = std::get_if<Cluster::ReadEngineState>(&effect)) {
             asio::co_spawn(control_, readState(read->endpoint, targetOf(read->endpoint)),
                            asio::detached);
-        } else if (const auto *order = std::get_if<Cluster::GiveOrder>(&effect)) {
+        } else if (const auto *order = std::get_if<Cluster::SendOrder>(&effect)) {
             asio::co_spawn(control_, give(*order, targetOf(order->endpoint)), asio::detached);
         } else if (const auto *foreign = std::get_if<Cluster::ForeignOrders>(&effect)) {
             foreignOrders_.add();
@@ -208,7 +208,7 @@
     carryOut(coordinator_.stateRead(endpoint, *state, now, std::chrono::system_clock::now()));
 }
 
-asio::awaitable<void> OrderRunner::give(Cluster::GiveOrder order, Target target)
+asio::awaitable<void> OrderRunner::give(Cluster::SendOrder order, Target target)
 {
     ordersGiven_.add();
     Common::log(Part, Common::LogLevel::Info, "order to engine {}: {} {} {} {} with fence {}",
--- a/Source/Core/Gateway/OrderRunner.h
+++ b/Source/Core/Gateway/OrderRunner.h
@@ -39,7 +39,7 @@
     asio::awaitable<void> loop();
     asio::awaitable<void> limitsLoop();
     asio::awaitable<void> readState(Common::EndpointId endpoint, Target target);
-    asio::awaitable<void> give(Cluster::GiveOrder order, Target target);
+    asio::awaitable<void> give(Cluster::SendOrder order, Target target);
     void updateDesired();
     void carryOut(const Cluster::OrderEffects &effects);
     Target targetOf(const Common::EndpointId &endpoint) const;
--- a/Source/Experiments/Cluster/VirtualRun.cpp
+++ b/Source/Experiments/Cluster/VirtualRun.cpp
@@ -4,13 +4,13 @@
 
 #include <fmt/format.h>
 
-#include "Cluster/MessageBus.h"
+#include "Cluster/SimulatedCluster.h"
 #include "Runs.h"
 
 namespace LaburnumChute::Measure {
 
 using namespace Cluster;
-using Cluster::Testing::MessageBus;
+using Cluster::Testing::SimulatedCluster;
 using Common::milliseconds;
 using Common::seconds;
 
@@ -76,7 +76,7 @@
     std::size_t deathsReported() const;
 
     RunSize size_;
-    MessageBus bus_;
+    SimulatedCluster bus_;
 };
 
 std::size_t VirtualRun::regionPeers(std::size_t index) const
@@ -209,7 +209,7 @@
         for (auto &process : bus_.processes) {
             process.notices.clear();
         }
-        bus_.perform(index, bus_.processes[index].node->announceLeaving(bus_.now()));
+        bus_.applyEffects(index, bus_.processes[index].node->announceLeaving(bus_.now()));
         const auto near = bus_.runUntil(
             [&] { return bus_.statesSeen(index, MemberState::Leaving) == regionPeers(index); },
             EventLimit);
--- a/Source/UnitTests/Cluster/ConfigurationTest.cpp
+++ b/Source/UnitTests/Cluster/ConfigurationTest.cpp
@@ -6,17 +6,17 @@
 #include "Cluster/ConfigurationStore.h"
 #include "Cluster/ConfigurationWatch.h"
 #include "Cluster/Delta.h"
-#include "Cluster/MessageBus.h"
+#include "Cluster/SimulatedCluster.h"
 
 using namespace LaburnumChute;
 using namespace LaburnumChute::Cluster;
 using Common::milliseconds;
 using Common::seconds;
-using Testing::MessageBus;
+using Testing::SimulatedCluster;
 
 namespace {
 
-void startFleet(MessageBus &bus, std::size_t perRegion)
+void startFleet(SimulatedCluster &bus, std::size_t perRegion)
 {
     for (const char *region : {"north", "central", "south"}) {
         for (std::size_t i = 0; i < perRegion; ++i) {
@@ -36,7 +36,7 @@
     return text + "}";
 }
 
-std::size_t processesWithConflict(const MessageBus &bus, Common::ConfigurationNumber number)
+std::size_t processesWithConflict(const SimulatedCluster &bus, Common::ConfigurationNumber number)
 {
     return static_cast<std::size_t>(
         std::count_if(bus.processes.begin(), bus.processes.end(), [&](const auto &process) {
@@ -47,7 +47,7 @@
 TEST(ConfigurationTest, NewVersionIsInForceEverywhereWithinFourSeconds)
 {
     for (std::uint64_t seed = 0; seed < 5; ++seed) {
-        MessageBus bus(seed);
+        SimulatedCluster bus(seed);
         bus.loss = 0.05;
         startFleet(bus, 10);
         bus.service = {1, document(20'000, 1)};
@@ -69,7 +69,7 @@
 TEST(ConfigurationTest, OneSurvivorCarriesTheVersionOverARestartOfAllOthers)
 {
     for (const bool stale : {false, true}) {
-        MessageBus bus(11);
+        SimulatedCluster bus(11);
         startFleet(bus, 4);
         bus.service = {7, document(5'000, 7)};
         ASSERT_TRUE(bus.runUntil([&] { return bus.allInForce(7); }, seconds(20)));
@@ -92,7 +92,7 @@
 // The service is set back to an old state, as from a backup, and gives it to all who read.
 TEST(ConfigurationTest, RevertedServiceTakesNobodyBackAndIsNotAskedWithoutPause)
 {
-    MessageBus bus(12);
+    SimulatedCluster bus(12);
     startFleet(bus, 4);
     bus.service = {9, "nine"};
     ASSERT_TRUE(bus.runUntil([&] { return bus.allInForce(9); }, seconds(20)));
@@ -118,7 +118,7 @@
 // both sides must say so, or callers of two regions get different routes for weeks.
 TEST(ConfigurationTest, TwoContentsUnderOneNumberAreReportedByBothSides)
 {
-    MessageBus bus(13);
+    SimulatedCluster bus(13);
     startFleet(bus, 4);
     bus.service = {1, "one"};
     ASSERT_TRUE(bus.runUntil([&] { return bus.allInForce(1); }, seconds(20)));
@@ -146,7 +146,7 @@
 // out of service, and the next good version must come through.
 TEST(ConfigurationTest, InvalidVersionLeavesTheLastGoodOneInForce)
 {
-    MessageBus bus(14);
+    SimulatedCluster bus(14);
     startFleet(bus, 4);
     bus.valid = [](const ConfigurationVersion &version) { return version.content != "bad"; };
     bus.service = {1, "good"};
@@ -184,7 +184,7 @@
 // A region reaches neither the service nor the other regions for a while, and changes go on.
 TEST(ConfigurationTest, HealedPartitionCatchesUpFromPeersAlone)
 {
-    MessageBus bus(15);
+    SimulatedCluster bus(15);
     startFleet(bus, 4);
     bus.service = {1, document(200'000, 1)};
     ASSERT_TRUE(bus.runUntil([&] { return bus.allInForce(1); }, seconds(20)));
@@ -201,7 +201,7 @@
 
 RC_GTEST_PROP(ConfigurationTest, NumberNeverDecreasesWithoutARestart, ())
 {
-    MessageBus bus(*rc::gen::arbitrary<std::uint64_t>());
+    SimulatedCluster bus(*rc::gen::arbitrary<std::uint64_t>());
     bus.loss = 0.1;
     startFleet(bus, 2);
     for (int step = 0; step < 12; ++step) {
--- a/Source/UnitTests/Cluster/MembershipTest.cpp
+++ b/Source/UnitTests/Cluster/MembershipTest.cpp
@@ -1,24 +1,24 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "Cluster/MessageBus.h"
+#include "Cluster/SimulatedCluster.h"
 
 using namespace LaburnumChute;
 using namespace LaburnumChute::Cluster;
 using Common::milliseconds;
 using Common::seconds;
-using Testing::MessageBus;
+using Testing::SimulatedCluster;
 
 namespace {
 
-void startRegion(MessageBus &bus, const std::string &region, std::size_t count)
+void startRegion(SimulatedCluster &bus, const std::string &region, std::size_t count)
 {
     for (std::size_t i = 0; i < count; ++i) {
         bus.start(region);
     }
 }
 
-std::size_t deathsReported(const MessageBus &bus)
+std::size_t deathsReported(const SimulatedCluster &bus)
 {
     std::size_t deaths = 0;
     for (const auto &process : bus.processes) {
@@ -31,7 +31,7 @@
 
 TEST(MembershipTest, MembersFindEachOtherAndAgree)
 {
-    MessageBus bus(1);
+    SimulatedCluster bus(1);
     startRegion(bus, "sapporo", 4);
     startRegion(bus, "hakodate", 4);
     bus.publishSeeds();
@@ -46,7 +46,7 @@
 
 TEST(MembershipTest, OtherRegionsLearnTheLoadOfARegion)
 {
-    MessageBus bus(8);
+    SimulatedCluster bus(8);
     startRegion(bus, "sapporo", 3);
     startRegion(bus, "hakodate", 3);
     bus.publishSeeds();
@@ -72,7 +72,7 @@
 // held wait for nothing.
 TEST(MembershipTest, DeathIsFoundInSeconds)
 {
-    MessageBus bus(2);
+    SimulatedCluster bus(2);
     bus.loss = 0.05;
     startRegion(bus, "north", 4);
     bus.publishSeeds();
@@ -87,7 +87,7 @@
 // own doing; if it blamed the others it would stop using three healthy instances at once.
 RC_GTEST_PROP(MembershipTest, PausedObserverDeclaresNobodyDead, ())
 {
-    MessageBus bus(*rc::gen::arbitrary<std::uint64_t>());
+    SimulatedCluster bus(*rc::gen::arbitrary<std::uint64_t>());
     bus.loss = 0.02;
     startRegion(bus, "north", 4);
     bus.publishSeeds();
@@ -110,7 +110,7 @@
 // healthy instance out of service.
 TEST(MembershipTest, SuspicionFromBeforeAPauseIsNotCarriedOut)
 {
-    MessageBus bus(7);
+    SimulatedCluster bus(7);
     startRegion(bus, "north", 4);
     bus.publishSeeds();
     bus.run(seconds(10));
@@ -139,7 +139,7 @@
 // itself; without that a pause of ten seconds would cost the instance for the rest of its life.
 TEST(MembershipTest, WokenInstanceRefutesItsDeath)
 {
-    MessageBus bus(3);
+    SimulatedCluster bus(3);
     startRegion(bus, "north", 4);
     bus.publishSeeds();
     bus.run(seconds(10));
@@ -157,7 +157,7 @@
 // medal order.
 TEST(MembershipTest, ReplacementSupersedesAtOnceAndTheOldProcessLearnsOfIt)
 {
-    MessageBus bus(4);
+    SimulatedCluster bus(4);
     startRegion(bus, "north", 4);
     bus.publishSeeds();
     bus.run(seconds(10));
@@ -203,7 +203,7 @@
 // reach the member, so that it is not given up for one bad path.
 TEST(MembershipTest, OneWayCutBetweenTwoMembersKillsNobody)
 {
-    MessageBus bus(5);
+    SimulatedCluster bus(5);
     startRegion(bus, "central", 5);
     bus.publishSeeds();
     bus.run(seconds(10));
@@ -216,7 +216,7 @@
 // uplink. Each half gives up the other; when the link is back they must find each other again.
 TEST(MembershipTest, HealedPartitionJoinsAgain)
 {
-    MessageBus bus(6);
+    SimulatedCluster bus(6);
     startRegion(bus, "central", 6);
     bus.publishSeeds();
     bus.run(seconds(10));
@@ -241,13 +241,13 @@
 TEST(MembershipTest, LeaveReachesAllWithinTwoSecondsInSpiteOfLoss)
 {
     for (std::uint64_t seed = 0; seed < 10; ++seed) {
-        MessageBus bus(100 + seed);
+        SimulatedCluster bus(100 + seed);
         bus.loss = 0.05;
         startRegion(bus, "sapporo", 30);
         startRegion(bus, "hakodate", 4);
         bus.publishSeeds();
         bus.run(seconds(15));
-        bus.perform(7, bus.processes[7].node->announceLeaving(bus.now()));
+        bus.applyEffects(7, bus.processes[7].node->announceLeaving(bus.now()));
         bus.run(seconds(2));
         EXPECT_EQ(bus.statesSeen(7, MemberState::Leaving), 29u);
         for (std::size_t i = 30; i < 34; ++i) {
--- a/Source/UnitTests/Cluster/NoticeTest.cpp
+++ b/Source/UnitTests/Cluster/NoticeTest.cpp
@@ -1,13 +1,13 @@
 #include <gtest/gtest.h>
 
-#include "Cluster/MessageBus.h"
-#include "Cluster/NoticeBoard.h"
+#include "Cluster/NoticeTable.h"
+#include "Cluster/SimulatedCluster.h"
 
 using namespace LaburnumChute;
 using namespace LaburnumChute::Cluster;
 using Common::milliseconds;
 using Common::seconds;
-using Testing::MessageBus;
+using Testing::SimulatedCluster;
 
 namespace {
 
@@ -22,7 +22,7 @@
 TEST(NoticeTest, ReachesAllInstancesOfAllRegionsBeforeAResend)
 {
     for (std::uint64_t seed = 0; seed < 5; ++seed) {
-        MessageBus bus(seed);
+        SimulatedCluster bus(seed);
         bus.loss = 0.05;
         for (int i = 0; i < 60; ++i) {
             bus.start("sapporo");
@@ -32,7 +32,7 @@
         }
         bus.publishSeeds();
         bus.run(seconds(20));
-        bus.perform(3, bus.processes[3].node->publishNotice(poison("abc"), bus.now()));
+        bus.applyEffects(3, bus.processes[3].node->publishNotice(poison("abc"), bus.now()));
         bus.run(seconds(1));
         std::size_t knowing = 0;
         for (const auto &process : bus.processes) {
@@ -51,7 +51,7 @@
 
 TEST(NoticeTest, NewerVersionReplacesAndExpiryForgets)
 {
-    NoticeBoard board(4);
+    NoticeTable board(4);
     const Common::Time now{seconds(1)};
     EXPECT_TRUE(board.apply(poison("a", 2), now));
     EXPECT_FALSE(board.apply(poison("a", 1), now));
@@ -59,13 +59,13 @@
     EXPECT_TRUE(board.apply(poison("a", 3), now));
     board.expire(now + seconds(61));
     EXPECT_TRUE(board.all(now + seconds(61)).empty());
-    EXPECT_EQ(board.hash(), NoticeBoard(4).hash());
+    EXPECT_EQ(board.hash(), NoticeTable(4).hash());
 }
 
 // A caller sends thousands of different requests that crash endpoints. The table stays small.
 TEST(NoticeTest, TableIsBounded)
 {
-    NoticeBoard board(4);
+    NoticeTable board(4);
     const Common::Time now{seconds(1)};
     for (int i = 0; i < 100; ++i) {
         board.apply(poison(std::to_string(i)), now + milliseconds(i));
--- a/Source/UnitTests/Cluster/OrdersTest.cpp
+++ b/Source/UnitTests/Cluster/OrdersTest.cpp
@@ -83,7 +83,7 @@
         FakeEngine &engine = engines[endpoint];
         for (const OrderEffect &effect :
              coordinator.stateRead(endpoint, engine.read(now), now, wall)) {
-            if (const auto *order = std::get_if<GiveOrder>(&effect)) {
+            if (const auto *order = std::get_if<SendOrder>(&effect)) {
                 given.emplace_back(order->fence, order->order);
                 const auto answer = engine.give(order->order, order->fence, now);
                 coordinator.orderAnswered(endpoint, answer, now);
--- a/Source/UnitTests/Cluster/MessageBus.h
+++ b/Source/UnitTests/Cluster/SimulatedCluster.h
@@ -35,10 +35,10 @@
 };
 
 /// Nodes on a lossy network under a virtual clock, beside a configuration service.
-class MessageBus
+class SimulatedCluster
 {
 public:
-    explicit MessageBus(std::uint64_t seed, const ClusterOptions &options = {})
+    explicit SimulatedCluster(std::uint64_t seed, const ClusterOptions &options = {})
         : options_(options)
         , random_(seed)
     {
@@ -91,7 +91,7 @@
     std::optional<Common::Duration> runUntil(const std::function<bool()> &condition,
                                              Common::Duration limit);
     /// Carries out what a node asked for.
-    void perform(std::size_t index, const Effects &effects);
+    void applyEffects(std::size_t index, const Effects &effects);
 
     std::size_t statesSeen(std::size_t subject, MemberState state) const;
     bool allInForce(Common::ConfigurationNumber number) const;
@@ -126,7 +126,8 @@
     std::priority_queue<Event> events_;
 };
 
-inline std::size_t MessageBus::start(const std::string &region, std::optional<std::size_t> index)
+inline std::size_t SimulatedCluster::start(const std::string &region,
+                                           std::optional<std::size_t> index)
 {
     const std::size_t at = index.value_or(processes.size());
     if (!index) {
@@ -150,21 +151,22 @@
     return at;
 }
 
-inline void MessageBus::resume(std::size_t index)
+inline void SimulatedCluster::resume(std::size_t index)
 {
     Process &process = processes[index];
     process.paused = false;
     // Whether its timer or its socket comes first is not in the hands of a process that wakes.
     if (timerFirst) {
-        perform(index, process.node->tick(now_, wallStart_ + now_.time_since_epoch()));
+        applyEffects(index, process.node->tick(now_, wallStart_ + now_.time_since_epoch()));
     }
     const auto waiting = std::exchange(process.socket, {});
     for (const auto &[from, message] : waiting) {
-        perform(index, process.node->receive(processes[from].info.gossipAddress, *message, now_));
+        applyEffects(index,
+                     process.node->receive(processes[from].info.gossipAddress, *message, now_));
     }
 }
 
-inline void MessageBus::publishSeeds()
+inline void SimulatedCluster::publishSeeds()
 {
     std::map<Common::RegionName, std::vector<Seed>> byRegion;
     for (const Process &process : processes) {
@@ -187,18 +189,18 @@
     for (std::size_t i = 0; i < processes.size(); ++i) {
         if (processes[i].node && !processes[i].paused) {
             const auto &seeds = lists[processes[i].info.region];
-            perform(i, processes[i].node->updateSeeds(seeds, now_));
+            applyEffects(i, processes[i].node->updateSeeds(seeds, now_));
         }
     }
 }
 
-inline void MessageBus::run(Common::Duration duration)
+inline void SimulatedCluster::run(Common::Duration duration)
 {
     runUntil([] { return false; }, duration);
 }
 
-inline std::optional<Common::Duration> MessageBus::runUntil(const std::function<bool()> &condition,
-                                                            Common::Duration limit)
+inline std::optional<Common::Duration>
+SimulatedCluster::runUntil(const std::function<bool()> &condition, Common::Duration limit)
 {
     const Common::Time begin = now_;
     Common::Time nextCheck = now_;
@@ -218,7 +220,7 @@
     return std::nullopt;
 }
 
-inline void MessageBus::dispatch(const Event &event)
+inline void SimulatedCluster::dispatch(const Event &event)
 {
     Process &process = processes[event.to];
     if (!event.message) {
@@ -228,7 +230,7 @@
         events_.push(
             {now_ + options_.tickInterval, ++order_, event.to, event.to, nullptr, event.life});
         if (!process.paused) {
-            perform(event.to, process.node->tick(now_, wallStart_ + now_.time_since_epoch()));
+            applyEffects(event.to, process.node->tick(now_, wallStart_ + now_.time_since_epoch()));
             answerReads(event.to);
         }
         return;
@@ -241,10 +243,10 @@
         return;
     }
     const Address from = processes[event.from].info.gossipAddress;
-    perform(event.to, process.node->receive(from, *event.message, now_));
+    applyEffects(event.to, process.node->receive(from, *event.message, now_));
 }
 
-inline void MessageBus::answerReads(std::size_t index)
+inline void SimulatedCluster::answerReads(std::size_t index)
 {
     Process &process = processes[index];
     if (!process.reading) {
@@ -253,25 +255,25 @@
     const ConfigurationVersion version = serviceFor(index);
     if (!serviceUp) {
         process.reading = false;
-        perform(index, process.node->configurationReadFailed(now_));
+        applyEffects(index, process.node->configurationReadFailed(now_));
     } else if (version.number > process.readAfter
                || (serviceIgnoresNumber && version.number != 0)) {
         process.reading = false;
-        perform(index, process.node->configurationRead(version, now_));
+        applyEffects(index, process.node->configurationRead(version, now_));
     } else if (now_ >= process.readEnds) {
         process.reading = false;
-        perform(index, process.node->configurationUnchanged(now_));
+        applyEffects(index, process.node->configurationUnchanged(now_));
     }
 }
 
-inline void MessageBus::perform(std::size_t index, const Effects &effects)
+inline void SimulatedCluster::applyEffects(std::size_t index, const Effects &effects)
 {
     for (const Effect &effect : effects) {
         act(index, effect);
     }
 }
 
-inline void MessageBus::act(std::size_t index, const Effect &effect)
+inline void SimulatedCluster::act(std::size_t index, const Effect &effect)
 {
     Process &process = processes[index];
     if (const auto *send = std::get_if<SendGossip>(&effect)) {
@@ -283,7 +285,7 @@
         const Common::Result<void> verdict =
             good ? Common::Result<void>()
                  : Common::makeError(Common::ErrorCode::InvalidArgument, "refused");
-        perform(index, process.node->configurationJudged(validate->number, verdict, now_));
+        applyEffects(index, process.node->configurationValidated(validate->number, verdict, now_));
     } else if (const auto *adopted = std::get_if<ConfigurationAdopted>(&effect)) {
         process.adopted.push_back(adopted->number);
     } else if (const auto *rejected = std::get_if<ConfigurationRejected>(&effect)) {
@@ -305,7 +307,7 @@
     }
 }
 
-inline void MessageBus::transmit(std::size_t from, const SendGossip &send)
+inline void SimulatedCluster::transmit(std::size_t from, const SendGossip &send)
 {
     largestDatagram = std::max(largestDatagram, encodedSize(send.message));
     const auto to = indexByAddress_.find(send.to);
@@ -319,7 +321,7 @@
                   std::make_shared<const GossipMessage>(send.message), nullptr});
 }
 
-inline std::size_t MessageBus::statesSeen(std::size_t subject, MemberState state) const
+inline std::size_t SimulatedCluster::statesSeen(std::size_t subject, MemberState state) const
 {
     std::size_t count = 0;
     for (std::size_t i = 0; i < processes.size(); ++i) {
@@ -331,7 +333,7 @@
     return count;
 }
 
-inline bool MessageBus::allInForce(Common::ConfigurationNumber number) const
+inline bool SimulatedCluster::allInForce(Common::ConfigurationNumber number) const
 {
     for (const Process &process : processes) {
         if (process.node && !process.paused && process.node->configuration().number != number) {
