--- a/Source/Core/Cluster/ClusterNode.cpp
+++ b/Source/Core/Cluster/ClusterNode.cpp
@@ -1,13 +1,13 @@
 #include "Cluster/ClusterNode.h"
 
-#include "Cluster/NodeParts.h"
+#include "Cluster/NodeImpl.h"
 #include "Cluster/Rendezvous.h"
 
 namespace LaburnumChute::Cluster {
 
 ClusterNode::ClusterNode(const ClusterOptions &options, const MemberInfo &self, std::uint64_t seed,
                          Common::Time now)
-    : parts_(std::make_unique<Parts>(options, self, seed, now))
+    : impl_(std::make_unique<Impl>(options, self, seed, now))
 {
 }
 
@@ -17,124 +17,124 @@
 
 Effects ClusterNode::receive(const Address &from, const GossipMessage &message, Common::Time now)
 {
-    parts_->receive(from, message, now);
-    return parts_->takeEffects();
+    impl_->receive(from, message, now);
+    return impl_->takeEffects();
 }
 
 Effects ClusterNode::tick(Common::Time now, Common::WallTime wallNow)
 {
-    parts_->tick(now, wallNow);
-    return parts_->takeEffects();
+    impl_->tick(now, wallNow);
+    return impl_->takeEffects();
 }
 
 Effects ClusterNode::updateSeeds(const std::vector<Seed> &seeds, Common::Time)
 {
-    parts_->updateSeeds(seeds);
-    return parts_->takeEffects();
+    impl_->updateSeeds(seeds);
+    return impl_->takeEffects();
 }
 
 Effects ClusterNode::configurationRead(const ConfigurationVersion &version, Common::Time now)
 {
-    parts_->configurationRead(version, now);
-    return parts_->takeEffects();
+    impl_->configurationRead(version, now);
+    return impl_->takeEffects();
 }
 
 Effects ClusterNode::configurationUnchanged(Common::Time now)
 {
-    parts_->configurationUnchanged(now);
-    return parts_->takeEffects();
+    impl_->configurationUnchanged(now);
+    return impl_->takeEffects();
 }
 
 Effects ClusterNode::configurationReadFailed(Common::Time now)
 {
-    parts_->configurationReadFailed(now);
-    return parts_->takeEffects();
+    impl_->configurationReadFailed(now);
+    return impl_->takeEffects();
 }
 
 Effects ClusterNode::configurationValidated(Common::ConfigurationNumber number,
-                                            const Common::Result<void> &verdict, Common::Time now)
+                                            const Common::Result<void> &result, Common::Time now)
 {
-    parts_->configurationValidated(number, verdict, now);
-    return parts_->takeEffects();
+    impl_->configurationValidated(number, result, now);
+    return impl_->takeEffects();
 }
 
 Effects ClusterNode::announceLeaving(Common::Time now)
 {
-    parts_->announceLeaving(now);
-    return parts_->takeEffects();
+    impl_->announceLeaving(now);
+    return impl_->takeEffects();
 }
 
 void ClusterNode::setLocalLoad(const LoadSummary &load)
 {
-    parts_->localLoad = load;
+    impl_->localLoad = load;
 }
 
 Effects ClusterNode::publishNotice(const Notice &notice, Common::Time now)
 {
-    parts_->publishNotice(notice, now);
-    return parts_->takeEffects();
+    impl_->publishNotice(notice, now);
+    return impl_->takeEffects();
 }
 
 const MemberInfo &ClusterNode::self() const
 {
-    return parts_->membership.self();
+    return impl_->membership.self();
 }
 
 std::vector<MemberView> ClusterNode::members() const
 {
-    std::vector<MemberView> views = parts_->membership.views();
+    std::vector<MemberView> views = impl_->membership.views();
     for (MemberView &view : views) {
-        view = parts_->listed(std::move(view));
+        view = impl_->preferListedAddresses(std::move(view));
     }
     return views;
 }
 
 std::optional<MemberView> ClusterNode::member(const Common::InstanceId &id) const
 {
-    auto view = parts_->membership.view(id);
-    return view ? std::optional(parts_->listed(std::move(*view))) : std::nullopt;
+    auto view = impl_->membership.view(id);
+    return view ? std::optional(impl_->preferListedAddresses(std::move(*view))) : std::nullopt;
 }
 
 std::optional<Common::Incarnation>
 ClusterNode::newestIncarnation(const Common::InstanceId &id) const
 {
-    return parts_->newestIncarnation(id);
+    return impl_->newestIncarnation(id);
 }
 
 const ConfigurationVersion &ClusterNode::configuration() const
 {
-    return parts_->store.current();
+    return impl_->store.current();
 }
 
 bool ClusterNode::isWatcher() const
 {
-    return parts_->roles().watcher;
+    return impl_->roles().watcher;
 }
 
 Common::InstanceId ClusterNode::orderer(std::string_view scope) const
 {
-    const auto chosen = chooseByRendezvous(parts_->membership.eligible(), scope, 1);
+    const auto chosen = chooseByRendezvous(impl_->membership.eligible(), scope, 1);
     return chosen.empty() ? Common::InstanceId() : chosen.front();
 }
 
 std::vector<RegionSummary> ClusterNode::regions() const
 {
-    return parts_->directory.summaries();
+    return impl_->directory.summaries();
 }
 
 std::vector<Notice> ClusterNode::notices() const
 {
-    return parts_->notices.all(parts_->lastInput);
+    return impl_->notices.all(impl_->lastInput);
 }
 
 const ControlTraffic &ClusterNode::traffic() const
 {
-    return parts_->traffic;
+    return impl_->traffic;
 }
 
 nlohmann::json ClusterNode::dump() const
 {
-    return parts_->dump();
+    return impl_->dump();
 }
 
 } // namespace LaburnumChute::Cluster
--- a/Source/Core/Cluster/ClusterNode.h
+++ b/Source/Core/Cluster/ClusterNode.h
@@ -52,7 +52,7 @@
     Effects configurationReadFailed(Common::Time now);
     /// The answer to ValidateConfiguration: a value puts the version in force.
     Effects configurationValidated(Common::ConfigurationNumber number,
-                                   const Common::Result<void> &verdict, Common::Time now);
+                                   const Common::Result<void> &result, Common::Time now);
 
     /// Tells all that this instance leaves. It goes on answering until it is stopped.
     Effects announceLeaving(Common::Time now);
@@ -81,8 +81,8 @@
     nlohmann::json dump() const;
 
 private:
-    class Parts;
-    std::unique_ptr<Parts> parts_;
+    class Impl;
+    std::unique_ptr<Impl> impl_;
 };
 
 } // namespace LaburnumChute::Cluster
--- a/Source/Core/Cluster/Codec.cpp
+++ b/Source/Core/Cluster/Codec.cpp
@@ -166,18 +166,18 @@
 }
 
 template <typename Archive>
-void serialize(Archive &archive, MemberClaim &claim)
-{
-    shortName(archive, claim.id);
-    bool known = claim.info.has_value();
-    archive(claim.incarnation, claim.counter);
-    enumeration(archive, claim.health, Health::Dead);
-    flag(archive, claim.leaving);
-    flag(archive, known);
-    if (known) {
-        MemberInfo info = claim.info.value_or(MemberInfo{});
+void serialize(Archive &archive, MemberUpdate &update)
+{
+    shortName(archive, update.id);
+    bool hasInfo = update.info.has_value();
+    archive(update.incarnation, update.counter);
+    enumeration(archive, update.health, Health::Dead);
+    flag(archive, update.leaving);
+    flag(archive, hasInfo);
+    if (hasInfo) {
+        MemberInfo info = update.info.value_or(MemberInfo{});
         archive(info);
-        claim.info = std::move(info);
+        update.info = std::move(info);
     }
 }
 
@@ -201,7 +201,7 @@
 }
 
 template <typename Archive>
-void serialize(Archive &, Carrier &)
+void serialize(Archive &, PiggybackOnly &)
 {
 }
 
@@ -214,7 +214,7 @@
 template <typename Archive>
 void serialize(Archive &archive, MembersPage &page)
 {
-    shortList(archive, page.claims);
+    shortList(archive, page.updates);
 }
 
 template <typename Archive>
@@ -267,7 +267,7 @@
     archive(message.incarnation);
     shortName(archive, message.region);
     archive(message.configuration, message.noticesHash);
-    shortList(archive, message.claims);
+    shortList(archive, message.updates);
     shortList(archive, message.notices);
     archive(message.body);
 }
@@ -291,9 +291,9 @@
     return HeaderBytes + EndianMark + sizeOf(message);
 }
 
-std::size_t encodedSize(const MemberClaim &claim)
+std::size_t encodedSize(const MemberUpdate &update)
 {
-    return sizeOf(claim);
+    return sizeOf(update);
 }
 
 std::size_t encodedSize(const Notice &notice)
--- a/Source/Core/Cluster/Codec.h
+++ b/Source/Core/Cluster/Codec.h
@@ -20,7 +20,7 @@
 /// Bytes of the datagram that encode() would make.
 std::size_t encodedSize(const GossipMessage &message);
 /// Bytes that one of these adds to a datagram.
-std::size_t encodedSize(const MemberClaim &claim);
+std::size_t encodedSize(const MemberUpdate &update);
 std::size_t encodedSize(const Notice &notice);
 std::size_t encodedSize(const RegionSummary &summary);
 
--- a/Source/Core/Cluster/ConfigurationStore.cpp
+++ b/Source/Core/Cluster/ConfigurationStore.cpp
@@ -10,8 +10,8 @@
 
 /// Numbers whose hashes are remembered to find conflicts; at 8,300 changes a day about the last
 /// three hours.
-constexpr std::size_t RememberedNumbers = 1024;
-constexpr std::size_t RememberedConflicts = 256;
+constexpr std::size_t MaxTrackedNumbers = 1024;
+constexpr std::size_t MaxTrackedConflicts = 256;
 
 } // namespace
 
@@ -25,14 +25,14 @@
 {
     const ConfigurationDigest digest{version.number, Common::stableHash(version.content)};
     checkHash(digest, holder, effects);
-    if (!wants(digest)) {
+    if (!isNeeded(digest)) {
         staleOffers_ += version.number < digest_.number ? 1 : 0;
         return;
     }
     if (!next_ || next_->digest.number < digest.number) {
-        next_ = Held{digest, version.content};
+        next_ = StoredVersion{digest, version.content};
     }
-    judgeNext(effects);
+    validateNext(effects);
 }
 
 void ConfigurationStore::compare(const ConfigurationDigest &digest,
@@ -50,13 +50,13 @@
 {
     const auto first = hashes_.find(digest.number);
     if (first == hashes_.end()) {
-        remember(digest);
+        recordHash(digest);
         return;
     }
     if (first->second == digest.hash) {
         return;
     }
-    if (reportedConflicts_.size() >= RememberedConflicts) {
+    if (reportedConflicts_.size() >= MaxTrackedConflicts) {
         reportedConflicts_.clear();
         conflictNumbers_.clear();
     }
@@ -66,68 +66,68 @@
     }
 }
 
-void ConfigurationStore::remember(const ConfigurationDigest &digest)
+void ConfigurationStore::recordHash(const ConfigurationDigest &digest)
 {
     hashes_.emplace(digest.number, digest.hash);
-    if (hashes_.size() > RememberedNumbers) {
+    if (hashes_.size() > MaxTrackedNumbers) {
         hashes_.erase(hashes_.begin());
     }
 }
 
-bool ConfigurationStore::wants(const ConfigurationDigest &digest) const
+bool ConfigurationStore::isNeeded(const ConfigurationDigest &digest) const
 {
     const auto rejected = rejected_.find(digest.number);
-    const bool refused = rejected != rejected_.end() && rejected->second == digest.hash;
+    const bool isRejected = rejected != rejected_.end() && rejected->second == digest.hash;
     const auto first = hashes_.find(digest.number);
-    const bool other = first != hashes_.end() && first->second != digest.hash;
-    const bool pending = (judging_ && judging_->digest.number >= digest.number)
-                         || (next_ && next_->digest.number >= digest.number);
-    return digest.number > digest_.number && !refused && !other && !pending;
+    const bool isConflicting = first != hashes_.end() && first->second != digest.hash;
+    const bool isPending = (validating_ && validating_->digest.number >= digest.number)
+                           || (next_ && next_->digest.number >= digest.number);
+    return digest.number > digest_.number && !isRejected && !isConflicting && !isPending;
 }
 
 void ConfigurationStore::release(Effects &effects)
 {
     held_ = false;
-    judgeNext(effects);
+    validateNext(effects);
 }
 
-void ConfigurationStore::judgeNext(Effects &effects)
+void ConfigurationStore::validateNext(Effects &effects)
 {
-    if (held_ || judging_ || !next_) {
+    if (held_ || validating_ || !next_) {
         return;
     }
-    judging_ = std::move(next_);
+    validating_ = std::move(next_);
     next_.reset();
-    effects.push_back(ValidateConfiguration{judging_->digest.number, judging_->content});
+    effects.push_back(ValidateConfiguration{validating_->digest.number, validating_->content});
 }
 
-void ConfigurationStore::judged(Common::ConfigurationNumber number,
-                                const Common::Result<void> &verdict, Effects &effects)
+void ConfigurationStore::validated(Common::ConfigurationNumber number,
+                                   const Common::Result<void> &result, Effects &effects)
 {
-    if (!judging_ || judging_->digest.number != number) {
+    if (!validating_ || validating_->digest.number != number) {
         return;
     }
-    Held version = std::move(*judging_);
-    judging_.reset();
-    if (!verdict) {
+    StoredVersion version = std::move(*validating_);
+    validating_.reset();
+    if (!result) {
         rejected_[number] = version.digest.hash;
-        if (rejected_.size() > RememberedNumbers) {
+        if (rejected_.size() > MaxTrackedNumbers) {
             rejected_.erase(rejected_.begin());
         }
-        effects.push_back(ConfigurationRejected{number, verdict.error().message});
+        effects.push_back(ConfigurationRejected{number, result.error().message});
     } else {
         adopt(std::move(version), effects);
     }
-    judgeNext(effects);
+    validateNext(effects);
 }
 
-void ConfigurationStore::adopt(Held version, Effects &effects)
+void ConfigurationStore::adopt(StoredVersion version, Effects &effects)
 {
     if (digest_.number != 0) {
         history_.push_back({digest_, std::move(current_.content)});
     }
     std::size_t bytes = 0;
-    for (const Held &old : history_) {
+    for (const StoredVersion &old : history_) {
         bytes += old.content.size();
     }
     while (bytes > historyBytes_) {
@@ -139,11 +139,11 @@
     effects.push_back(ConfigurationAdopted{current_.number, current_.content});
 }
 
-Common::ConfigurationNumber ConfigurationStore::newestMet() const
+Common::ConfigurationNumber ConfigurationStore::newestSeen() const
 {
     Common::ConfigurationNumber newest = digest_.number;
-    if (judging_) {
-        newest = std::max(newest, judging_->digest.number);
+    if (validating_) {
+        newest = std::max(newest, validating_->digest.number);
     }
     if (next_) {
         newest = std::max(newest, next_->digest.number);
@@ -160,7 +160,7 @@
         return &current_.content;
     }
     const auto it = std::find_if(history_.begin(), history_.end(),
-                                 [&](const Held &old) { return old.digest == digest; });
+                                 [&](const StoredVersion &old) { return old.digest == digest; });
     return it == history_.end() ? nullptr : &it->content;
 }
 
--- a/Source/Core/Cluster/ConfigurationStore.h
+++ b/Source/Core/Cluster/ConfigurationStore.h
@@ -29,8 +29,8 @@
     /// Compares what a peer holds with what was met under its number.
     void compare(const ConfigurationDigest &digest, const Common::InstanceId &holder,
                  Effects &effects);
-    void judged(Common::ConfigurationNumber number, const Common::Result<void> &verdict,
-                Effects &effects);
+    void validated(Common::ConfigurationNumber number, const Common::Result<void> &result,
+                   Effects &effects);
     /// While held, offers are kept and nothing is put in force. A new instance knows nothing: a
     /// stale service would put an old version in force on it though its peers are further. It is
     /// released when it has heard its peers.
@@ -41,7 +41,7 @@
     }
 
     /// True when a version of this digest would be of use.
-    bool wants(const ConfigurationDigest &digest) const;
+    bool isNeeded(const ConfigurationDigest &digest) const;
     const ConfigurationVersion &current() const
     {
         return current_;
@@ -51,7 +51,7 @@
         return digest_;
     }
     /// The number above which the service is read: what is in force, being judged or refused.
-    Common::ConfigurationNumber newestMet() const;
+    Common::ConfigurationNumber newestSeen() const;
     /// The content of the current or of a recent version.
     const std::string *content(const ConfigurationDigest &digest) const;
     std::uint64_t staleOffers() const
@@ -64,7 +64,7 @@
     }
 
 private:
-    struct Held
+    struct StoredVersion
     {
         ConfigurationDigest digest;
         std::string content;
@@ -72,22 +72,22 @@
 
     void checkHash(const ConfigurationDigest &digest, const Common::InstanceId &holder,
                    Effects &effects);
-    void remember(const ConfigurationDigest &digest);
-    void judgeNext(Effects &effects);
-    void adopt(Held version, Effects &effects);
+    void recordHash(const ConfigurationDigest &digest);
+    void validateNext(Effects &effects);
+    void adopt(StoredVersion version, Effects &effects);
 
     std::size_t historyBytes_;
     bool held_ = true;
     ConfigurationVersion current_;
     ConfigurationDigest digest_;
-    std::optional<Held> judging_;
+    std::optional<StoredVersion> validating_;
     /// Offered while another version was being judged, or while held.
-    std::optional<Held> next_;
+    std::optional<StoredVersion> next_;
     std::map<Common::ConfigurationNumber, std::uint64_t> hashes_;
     std::map<Common::ConfigurationNumber, std::uint64_t> rejected_;
     std::set<std::pair<Common::ConfigurationNumber, std::uint64_t>> reportedConflicts_;
     std::set<Common::ConfigurationNumber> conflictNumbers_;
-    std::deque<Held> history_;
+    std::deque<StoredVersion> history_;
     std::uint64_t staleOffers_ = 0;
 };
 
--- a/Source/Core/Cluster/ConfigurationTransfer.cpp
+++ b/Source/Core/Cluster/ConfigurationTransfer.cpp
@@ -13,11 +13,11 @@
 /// Requests without any chunk in answer after which the fetch is given up, until the version is
 /// heard of again.
 constexpr int MaxFailures = 8;
-constexpr std::size_t KeptDeltas = 8;
+constexpr std::size_t MaxCachedDeltas = 8;
 /// A delta of more than this share of the content is not worth a second copy of the work.
-constexpr double WorthwhileDelta = 0.5;
+constexpr double MaxDeltaRatio = 0.5;
 /// Largest window a holder answers, whatever was asked.
-constexpr std::size_t MaxWindow = 64;
+constexpr std::size_t MaxWindowChunks = 64;
 
 std::size_t chunkCount(std::size_t bytes)
 {
@@ -32,10 +32,10 @@
 }
 
 std::optional<ConfigurationFetch::Request>
-ConfigurationFetch::heard(const Address &holder, const ConfigurationDigest &digest,
-                          const ConfigurationStore &store, Common::Time now)
+ConfigurationFetch::onAnnouncement(const Address &holder, const ConfigurationDigest &digest,
+                                   const ConfigurationStore &store, Common::Time now)
 {
-    if (!store.wants(digest)) {
+    if (!store.isNeeded(digest)) {
         return std::nullopt;
     }
     if (fetch_ && fetch_->wanted == digest) {
@@ -48,54 +48,54 @@
     }
     // A fetch under way is finished first: versions that follow each other faster than one can be
     // fetched would otherwise keep an instance from ever completing one.
-    if (fetch_ && store.wants(fetch_->wanted)) {
+    if (fetch_ && store.isNeeded(fetch_->wanted)) {
         return std::nullopt;
     }
     fetch_ = Fetch{};
     fetch_->wanted = digest;
     fetch_->holders = {holder};
-    return ask(store, now);
+    return nextRequest(store, now);
 }
 
-ConfigurationFetch::Request ConfigurationFetch::ask(const ConfigurationStore &store,
-                                                    Common::Time now)
+ConfigurationFetch::Request ConfigurationFetch::nextRequest(const ConfigurationStore &store,
+                                                            Common::Time now)
 {
-    const std::size_t chunks = fetch_->have.size();
+    const std::size_t chunks = fetch_->received.size();
     const std::size_t last = fetch_->firstMissing + options_.chunkWindow;
     fetch_->windowEnd = chunks == 0 ? last : std::min(chunks, last);
     fetch_->deadline = now + options_.chunkTimeout;
     ConfigurationRequest request;
     request.wanted = fetch_->wanted;
-    request.base = fetch_->wholeOnly ? ConfigurationDigest{} : store.digest();
+    request.base = fetch_->fullOnly ? ConfigurationDigest{} : store.digest();
     request.offset = static_cast<std::uint32_t>(fetch_->firstMissing * ChunkBytes);
     request.chunks = static_cast<std::uint16_t>(fetch_->windowEnd - fetch_->firstMissing);
     return {fetch_->holders[fetch_->holder], request};
 }
 
-void ConfigurationFetch::begin(const ConfigurationChunk &chunk)
+void ConfigurationFetch::startTransfer(const ConfigurationChunk &chunk)
 {
     fetch_->base = chunk.base;
     fetch_->transferSize = chunk.transferSize;
     fetch_->bytes.assign(chunk.transferSize, '\0');
-    fetch_->have.assign(chunkCount(chunk.transferSize), false);
+    fetch_->received.assign(chunkCount(chunk.transferSize), false);
     fetch_->firstMissing = 0;
-    fetch_->windowEnd = std::min(fetch_->have.size(), options_.chunkWindow);
+    fetch_->windowEnd = std::min(fetch_->received.size(), options_.chunkWindow);
 }
 
 std::optional<ConfigurationFetch::Request>
 ConfigurationFetch::receive(const Address &, const ConfigurationChunk &chunk,
                             const ConfigurationStore &store, Common::Time now)
 {
-    const bool sane = chunk.transferSize > 0 && chunk.transferSize <= MaxContentBytes
-                      && chunk.offset % ChunkBytes == 0
-                      && std::size_t{chunk.offset} + chunk.bytes.size() <= chunk.transferSize;
-    if (!fetch_ || chunk.version != fetch_->wanted || !sane) {
+    const bool isValid = chunk.transferSize > 0 && chunk.transferSize <= MaxContentBytes
+                         && chunk.offset % ChunkBytes == 0
+                         && std::size_t{chunk.offset} + chunk.bytes.size() <= chunk.transferSize;
+    if (!fetch_ || chunk.version != fetch_->wanted || !isValid) {
         return std::nullopt;
     }
     // Holders with different histories send different transfers of the same version.
-    if (fetch_->have.empty() || chunk.base != fetch_->base
+    if (fetch_->received.empty() || chunk.base != fetch_->base
         || chunk.transferSize != fetch_->transferSize) {
-        begin(chunk);
+        startTransfer(chunk);
     }
     const std::size_t index = chunk.offset / ChunkBytes;
     const std::size_t expected = std::min(ChunkBytes, fetch_->transferSize - index * ChunkBytes);
@@ -103,16 +103,17 @@
         return std::nullopt;
     }
     std::copy(chunk.bytes.begin(), chunk.bytes.end(), fetch_->bytes.begin() + chunk.offset);
-    fetch_->have[index] = true;
+    fetch_->received[index] = true;
     fetch_->failures = 0;
-    while (fetch_->firstMissing < fetch_->have.size() && fetch_->have[fetch_->firstMissing]) {
+    while (fetch_->firstMissing < fetch_->received.size()
+           && fetch_->received[fetch_->firstMissing]) {
         ++fetch_->firstMissing;
     }
-    if (fetch_->firstMissing == fetch_->have.size()) {
+    if (fetch_->firstMissing == fetch_->received.size()) {
         assemble(store);
-        return fetch_ ? std::optional(ask(store, now)) : std::nullopt;
+        return fetch_ ? std::optional(nextRequest(store, now)) : std::nullopt;
     }
-    return windowComplete() ? std::optional(ask(store, now)) : std::nullopt;
+    return windowComplete() ? std::optional(nextRequest(store, now)) : std::nullopt;
 }
 
 bool ConfigurationFetch::windowComplete() const
@@ -134,16 +135,16 @@
         fetch_.reset();
         return;
     }
-    ++wrongContents_;
-    const bool triedWhole = fetch_->wholeOnly;
-    Fetch again;
-    again.wanted = fetch_->wanted;
-    again.holders = fetch_->holders;
-    again.holder = (fetch_->holder + 1) % again.holders.size();
-    again.wholeOnly = true;
+    ++hashMismatches_;
+    const bool triedFull = fetch_->fullOnly;
+    Fetch retry;
+    retry.wanted = fetch_->wanted;
+    retry.holders = fetch_->holders;
+    retry.holder = (fetch_->holder + 1) % retry.holders.size();
+    retry.fullOnly = true;
     fetch_.reset();
-    if (!triedWhole) {
-        fetch_ = std::move(again);
+    if (!triedFull) {
+        fetch_ = std::move(retry);
     }
 }
 
@@ -153,7 +154,7 @@
     if (!fetch_) {
         return std::nullopt;
     }
-    if (!store.wants(fetch_->wanted) || fetch_->failures >= MaxFailures) {
+    if (!store.isNeeded(fetch_->wanted) || fetch_->failures >= MaxFailures) {
         fetch_.reset();
         return std::nullopt;
     }
@@ -162,7 +163,7 @@
     }
     ++fetch_->failures;
     fetch_->holder = (fetch_->holder + 1) % fetch_->holders.size();
-    return ask(store, now);
+    return nextRequest(store, now);
 }
 
 void ConfigurationFetch::postpone(Common::Duration gap)
@@ -177,18 +178,18 @@
     return std::exchange(complete_, std::nullopt);
 }
 
-std::vector<ConfigurationChunk> ConfigurationSource::answer(const ConfigurationRequest &request,
-                                                            const ConfigurationStore &store)
+std::vector<ConfigurationChunk> ConfigurationSource::makeChunks(const ConfigurationRequest &request,
+                                                                const ConfigurationStore &store)
 {
     const std::string *content = store.content(request.wanted);
     if (content == nullptr) {
         return {};
     }
-    const Transfer *transfer = delta(request, store);
+    const Transfer *transfer = findOrMakeDelta(request, store);
     const std::string &bytes = transfer == nullptr ? *content : transfer->bytes;
     const ConfigurationDigest base = transfer == nullptr ? ConfigurationDigest{} : transfer->base;
     std::vector<ConfigurationChunk> chunks;
-    const std::size_t wanted = std::min<std::size_t>(request.chunks, MaxWindow);
+    const std::size_t wanted = std::min<std::size_t>(request.chunks, MaxWindowChunks);
     for (std::size_t i = 0; i < wanted; ++i) {
         const std::size_t offset = request.offset + i * ChunkBytes;
         if (offset >= bytes.size()) {
@@ -200,8 +201,9 @@
     return chunks;
 }
 
-const ConfigurationSource::Transfer *ConfigurationSource::delta(const ConfigurationRequest &request,
-                                                                const ConfigurationStore &store)
+const ConfigurationSource::Transfer *
+ConfigurationSource::findOrMakeDelta(const ConfigurationRequest &request,
+                                     const ConfigurationStore &store)
 {
     const std::string *base = store.content(request.base);
     const std::string *content = store.content(request.wanted);
@@ -213,11 +215,11 @@
     });
     if (it == deltas_.end()) {
         Transfer transfer{request.wanted, request.base, makeDelta(*base, *content)};
-        const auto worthwhile = static_cast<double>(content->size()) * WorthwhileDelta;
-        if (static_cast<double>(transfer.bytes.size()) > worthwhile) {
+        const auto maxDeltaBytes = static_cast<double>(content->size()) * MaxDeltaRatio;
+        if (static_cast<double>(transfer.bytes.size()) > maxDeltaBytes) {
             transfer.bytes.clear();
         }
-        if (deltas_.size() >= KeptDeltas) {
+        if (deltas_.size() >= MaxCachedDeltas) {
             deltas_.pop_front();
         }
         deltas_.push_back(std::move(transfer));
--- a/Source/Core/Cluster/ConfigurationTransfer.h
+++ b/Source/Core/Cluster/ConfigurationTransfer.h
@@ -32,8 +32,8 @@
     };
 
     /// A peer holds a version that is wanted.
-    std::optional<Request> heard(const Address &holder, const ConfigurationDigest &digest,
-                                 const ConfigurationStore &store, Common::Time now);
+    std::optional<Request> onAnnouncement(const Address &holder, const ConfigurationDigest &digest,
+                                          const ConfigurationStore &store, Common::Time now);
     /// A part arrived. When the version is whole, it is in complete().
     std::optional<Request> receive(const Address &from, const ConfigurationChunk &chunk,
                                    const ConfigurationStore &store, Common::Time now);
@@ -48,9 +48,9 @@
         return fetch_.has_value();
     }
     /// Transfers that gave another content than announced.
-    std::uint64_t wrongContents() const
+    std::uint64_t hashMismatches() const
     {
-        return wrongContents_;
+        return hashMismatches_;
     }
 
 private:
@@ -62,23 +62,23 @@
         ConfigurationDigest base;
         std::uint32_t transferSize = 0;
         std::string bytes;
-        std::vector<bool> have;
+        std::vector<bool> received;
         std::size_t firstMissing = 0;
         std::size_t windowEnd = 0;
         int failures = 0;
-        bool wholeOnly = false;
+        bool fullOnly = false;
         Common::Time deadline;
     };
 
-    void begin(const ConfigurationChunk &chunk);
+    void startTransfer(const ConfigurationChunk &chunk);
     bool windowComplete() const;
     void assemble(const ConfigurationStore &store);
-    Request ask(const ConfigurationStore &store, Common::Time now);
+    Request nextRequest(const ConfigurationStore &store, Common::Time now);
 
     ClusterOptions options_;
     std::optional<Fetch> fetch_;
     std::optional<ConfigurationVersion> complete_;
-    std::uint64_t wrongContents_ = 0;
+    std::uint64_t hashMismatches_ = 0;
 };
 
 /// Answers requests for parts of versions. Deltas are kept for the next request, since all members
@@ -86,8 +86,8 @@
 class ConfigurationSource
 {
 public:
-    std::vector<ConfigurationChunk> answer(const ConfigurationRequest &request,
-                                           const ConfigurationStore &store);
+    std::vector<ConfigurationChunk> makeChunks(const ConfigurationRequest &request,
+                                               const ConfigurationStore &store);
 
 private:
     struct Transfer
@@ -98,7 +98,8 @@
         std::string bytes;
     };
 
-    const Transfer *delta(const ConfigurationRequest &request, const ConfigurationStore &store);
+    const Transfer *findOrMakeDelta(const ConfigurationRequest &request,
+                                    const ConfigurationStore &store);
 
     std::deque<Transfer> deltas_;
 };
--- a/Source/Core/Cluster/ConfigurationWatch.cpp
+++ b/Source/Core/Cluster/ConfigurationWatch.cpp
@@ -10,7 +10,7 @@
 constexpr double ChangesPerSecond = 8300.0 / 86400.0;
 /// Between two reads, also when the service answers at once: one that ignores the wait would else
 /// be asked without pause.
-constexpr Common::milliseconds LeastInterval{100};
+constexpr Common::milliseconds MinReadInterval{100};
 
 } // namespace
 
@@ -20,8 +20,8 @@
     const double affordable =
         options.readsPerSecond
         / (readsPerWatcher * static_cast<double>(std::max<std::size_t>(regions, 1)));
-    const auto most = static_cast<double>(options.watchersPerRegion);
-    return static_cast<std::size_t>(std::clamp(affordable, 1.0, std::max(most, 1.0)));
+    const auto maxWatchers = static_cast<double>(options.watchersPerRegion);
+    return static_cast<std::size_t>(std::clamp(affordable, 1.0, std::max(maxWatchers, 1.0)));
 }
 
 ConfigurationWatch::ConfigurationWatch(const ClusterOptions &options)
@@ -30,8 +30,8 @@
 {
 }
 
-void ConfigurationWatch::tick(bool watcher, Common::ConfigurationNumber newestMet, Common::Time now,
-                              Effects &effects)
+void ConfigurationWatch::tick(bool watcher, Common::ConfigurationNumber newestSeen,
+                              Common::Time now, Effects &effects)
 {
     if (!watcher && reading_) {
         reading_ = false;
@@ -42,14 +42,14 @@
     }
     reading_ = true;
     ++reads_;
-    effects.push_back(ReadConfiguration{newestMet, options_.watchWait});
+    effects.push_back(ReadConfiguration{newestSeen, options_.watchWait});
 }
 
 void ConfigurationWatch::succeeded(Common::Time now)
 {
     reading_ = false;
     backoff_ = options_.watchRetry;
-    nextRead_ = now + LeastInterval;
+    nextRead_ = now + MinReadInterval;
 }
 
 void ConfigurationWatch::failed(Common::Time now)
--- a/Source/Core/Cluster/ConfigurationWatch.h
+++ b/Source/Core/Cluster/ConfigurationWatch.h
@@ -15,7 +15,7 @@
 public:
     explicit ConfigurationWatch(const ClusterOptions &options);
 
-    void tick(bool watcher, Common::ConfigurationNumber newestMet, Common::Time now,
+    void tick(bool watcher, Common::ConfigurationNumber newestSeen, Common::Time now,
               Effects &effects);
     /// The service answered with something new, or waited and had nothing.
     void succeeded(Common::Time now);
--- a/Source/Core/Cluster/Delta.cpp
+++ b/Source/Core/Cluster/Delta.cpp
@@ -19,7 +19,7 @@
 /// In the search the hash is a polynomial, rolled on by one byte at a time.
 constexpr std::uint64_t Multiplier = 0x9E3779B97F4A7C15ull;
 
-std::uint64_t polynomial(std::string_view bytes)
+std::uint64_t polynomialHash(std::string_view bytes)
 {
     std::uint64_t hash = 0;
     for (const char byte : bytes) {
@@ -76,8 +76,8 @@
 {
     std::unordered_map<std::uint64_t, std::size_t> index;
     index.reserve(base.size() / BlockBytes);
-    for (std::size_t at = 0; at + BlockBytes <= base.size(); at += BlockBytes) {
-        index.emplace(polynomial(base.substr(at, BlockBytes)), at);
+    for (std::size_t position = 0; position + BlockBytes <= base.size(); position += BlockBytes) {
+        index.emplace(polynomialHash(base.substr(position, BlockBytes)), position);
     }
     return index;
 }
@@ -95,34 +95,35 @@
     const auto index = indexBlocks(base);
     const std::uint64_t power = highestPower();
     DeltaWriter writer;
-    std::size_t pending = 0;
-    std::size_t at = 0;
+    std::size_t literalStart = 0;
+    std::size_t position = 0;
     std::uint64_t hash = 0;
     bool hashValid = false;
-    while (at + BlockBytes <= target.size()) {
+    while (position + BlockBytes <= target.size()) {
         if (!hashValid) {
-            hash = polynomial(target.substr(at, BlockBytes));
+            hash = polynomialHash(target.substr(position, BlockBytes));
             hashValid = true;
         }
         const auto found = index.find(hash);
-        const std::size_t length =
-            found == index.end() ? 0 : commonLength(base.substr(found->second), target.substr(at));
+        const std::size_t length = found == index.end() ? 0
+                                                        : commonLength(base.substr(found->second),
+                                                                       target.substr(position));
         if (length >= BlockBytes) {
-            writer.insert(target.substr(pending, at - pending));
+            writer.insert(target.substr(literalStart, position - literalStart));
             writer.copy(found->second, length);
-            at += length;
-            pending = at;
+            position += length;
+            literalStart = position;
             hashValid = false;
             continue;
         }
-        const auto first = static_cast<unsigned char>(target[at]) + 1u;
-        if (at + BlockBytes < target.size()) {
-            const auto next = static_cast<unsigned char>(target[at + BlockBytes]) + 1u;
+        const auto first = static_cast<unsigned char>(target[position]) + 1u;
+        if (position + BlockBytes < target.size()) {
+            const auto next = static_cast<unsigned char>(target[position + BlockBytes]) + 1u;
             hash = (hash - first * power) * Multiplier + next;
         }
-        ++at;
+        ++position;
     }
-    writer.insert(target.substr(pending));
+    writer.insert(target.substr(literalStart));
     return writer.text();
 }
 
--- a/Source/Core/Cluster/FailureDetector.cpp
+++ b/Source/Core/Cluster/FailureDetector.cpp
@@ -29,11 +29,11 @@
 void FailureDetector::finishProbe(const std::vector<Common::InstanceId> &peers,
                                   ProbeActions &actions)
 {
-    const bool known = std::binary_search(peers.begin(), peers.end(), probe_->target);
+    const bool isPeer = std::binary_search(peers.begin(), peers.end(), probe_->target);
     if (probe_->answered) {
-        doubt_ = std::max(0, doubt_ - 1);
-    } else if (known) {
-        doubt_ = std::min(MaxDoubt, doubt_ + 1);
+        localHealthScore_ = std::max(0, localHealthScore_ - 1);
+    } else if (isPeer) {
+        localHealthScore_ = std::min(MaxLocalHealthScore, localHealthScore_ + 1);
         actions.suspects.push_back(probe_->target);
     }
     probe_.reset();
@@ -59,21 +59,21 @@
     if (peers.empty()) {
         return;
     }
-    const auto gone = [&peers](const Common::InstanceId &id) {
+    const auto isRemoved = [&peers](const Common::InstanceId &id) {
         return !std::binary_search(peers.begin(), peers.end(), id);
     };
-    std::erase_if(pass_, gone);
-    if (pass_.empty()) {
-        pass_ = peers;
-        std::shuffle(pass_.begin(), pass_.end(), random);
+    std::erase_if(probeOrder_, isRemoved);
+    if (probeOrder_.empty()) {
+        probeOrder_ = peers;
+        std::shuffle(probeOrder_.begin(), probeOrder_.end(), random);
     }
-    const int slowdown = doubt_ + 1;
+    const int timeoutMultiplier = localHealthScore_ + 1;
     Probe probe;
-    probe.target = pass_.back();
-    pass_.pop_back();
+    probe.target = probeOrder_.back();
+    probeOrder_.pop_back();
     probe.sequence = nextSequence();
-    probe.askHelpers = now + options_.probeTimeout * slowdown;
-    probe.ends = now + options_.probePeriod * slowdown;
+    probe.askHelpers = now + options_.probeTimeout * timeoutMultiplier;
+    probe.ends = now + options_.probePeriod * timeoutMultiplier;
     nextProbe_ = now + options_.probePeriod;
     actions.pings.push_back({probe.target, probe.sequence});
     probe_ = std::move(probe);
@@ -88,10 +88,10 @@
 
 void FailureDetector::selfSuspected()
 {
-    doubt_ = std::min(MaxDoubt, doubt_ + 1);
+    localHealthScore_ = std::min(MaxLocalHealthScore, localHealthScore_ + 1);
 }
 
-void FailureDetector::abandonProbe(Common::Time now)
+void FailureDetector::cancelProbe(Common::Time now)
 {
     probe_.reset();
     nextProbe_ = now;
--- a/Source/Core/Cluster/FailureDetector.h
+++ b/Source/Core/Cluster/FailureDetector.h
@@ -49,7 +49,7 @@
     /// Others suspected this instance.
     void selfSuspected();
     /// Drops the probe under way without a verdict, and begins a new one at once.
-    void abandonProbe(Common::Time now);
+    void cancelProbe(Common::Time now);
     /// Moves the deadlines of the probe under way.
     void postpone(Common::Duration gap);
     std::uint32_t nextSequence()
@@ -57,12 +57,12 @@
         return ++sequence_;
     }
 
-    /// 0 when all is well, up to MaxDoubt.
-    int doubt() const
+    /// 0 when all is well, up to MaxLocalHealthScore.
+    int localHealthScore() const
     {
-        return doubt_;
+        return localHealthScore_;
     }
-    static constexpr int MaxDoubt = 3;
+    static constexpr int MaxLocalHealthScore = 3;
 
 private:
     struct Probe
@@ -83,10 +83,10 @@
 
     ClusterOptions options_;
     std::uint32_t sequence_ = 0;
-    int doubt_ = 0;
+    int localHealthScore_ = 0;
     Common::Time nextProbe_;
     std::optional<Probe> probe_;
-    std::vector<Common::InstanceId> pass_;
+    std::vector<Common::InstanceId> probeOrder_;
 };
 
 } // namespace LaburnumChute::Cluster
--- a/Source/Core/Cluster/LoadSum.cpp
+++ b/Source/Core/Cluster/LoadAggregator.cpp
@@ -1,10 +1,10 @@
-#include "Cluster/LoadSum.h"
+#include "Cluster/LoadAggregator.h"
 
 #include <algorithm>
 
 namespace LaburnumChute::Cluster {
 
-void LoadSum::add(const LoadSummary &loads)
+void LoadAggregator::add(const LoadSummary &loads)
 {
     for (const ServiceLoad &load : loads) {
         Sum &sum = sums_[load.name];
@@ -20,7 +20,7 @@
     }
 }
 
-LoadSummary LoadSum::result() const
+LoadSummary LoadAggregator::result() const
 {
     LoadSummary loads;
     for (const auto &[name, sum] : sums_) {
--- a/Source/Core/Cluster/LoadSum.h
+++ b/Source/Core/Cluster/LoadAggregator.h
@@ -10,7 +10,7 @@
 
 /// Adds the loads that the instances of a region report up to the load of the region: work of the
 /// instances is summed, views of the same endpoints are averaged.
-class LoadSum
+class LoadAggregator
 {
 public:
     void add(const LoadSummary &loads);
--- a/Source/Core/Cluster/Membership.cpp
+++ b/Source/Core/Cluster/Membership.cpp
@@ -14,7 +14,7 @@
 /// A claim travels in this many messages of each instance, times the binary logarithm of the
 /// members: with two, an instance is missed with a probability below 1% (the periodic comparison of
 /// whole views finds the rest).
-constexpr std::size_t SpreadFactor = 2;
+constexpr std::size_t RetransmitMultiplier = 2;
 
 std::size_t binaryLogarithm(std::size_t count)
 {
@@ -47,81 +47,81 @@
     : options_(options)
     , self_(std::move(self))
 {
-    spread(self_.id, true);
+    enqueueUpdate(self_.id, true);
 }
 
-void Membership::apply(const MemberClaim &claim, Common::Time now, Effects &effects)
+void Membership::apply(const MemberUpdate &update, Common::Time now, Effects &effects)
 {
-    if (claim.id == self_.id) {
-        applyToSelf(claim, effects);
+    if (update.id == self_.id) {
+        applyToSelf(update, effects);
         return;
     }
-    const auto it = records_.find(claim.id);
-    if (it == records_.end() || claim.incarnation > it->second.info.incarnation) {
-        add(claim, now, effects);
+    const auto it = records_.find(update.id);
+    if (it == records_.end() || update.incarnation > it->second.info.incarnation) {
+        add(update, now, effects);
         return;
     }
-    if (claim.incarnation == it->second.info.incarnation) {
-        applyToRecord(it->second, claim, now, effects);
+    if (update.incarnation == it->second.info.incarnation) {
+        applyToRecord(it->second, update, now, effects);
     }
 }
 
-void Membership::applyToSelf(const MemberClaim &claim, Effects &effects)
+void Membership::applyToSelf(const MemberUpdate &update, Effects &effects)
 {
-    if (claim.incarnation > self_.incarnation && claim.incarnation > supersededBy_.value_or(0)) {
-        supersededBy_ = claim.incarnation;
-        effects.push_back(SelfSuperseded{claim.incarnation});
+    if (update.incarnation > self_.incarnation && update.incarnation > supersededBy_.value_or(0)) {
+        supersededBy_ = update.incarnation;
+        effects.push_back(SelfSuperseded{update.incarnation});
     }
-    if (claim.incarnation != self_.incarnation || claim.health == Health::Alive) {
+    if (update.incarnation != self_.incarnation || update.health == Health::Alive) {
         return;
     }
-    if (claim.counter < counter_) {
-        corrections_.push_back(selfClaim(false));
+    if (update.counter < counter_) {
+        corrections_.push_back(selfUpdate(false));
         return;
     }
-    counter_ = claim.counter + 1;
+    counter_ = update.counter + 1;
     ++refutations_;
-    spread(self_.id, true);
+    enqueueUpdate(self_.id, true);
 }
 
-void Membership::add(const MemberClaim &claim, Common::Time now, Effects &effects)
+void Membership::add(const MemberUpdate &update, Common::Time now, Effects &effects)
 {
     // Without its addresses a member is of no use; the comparison of whole views brings them.
-    if (!claim.info || claim.info->region != self_.region) {
+    if (!update.info || update.info->region != self_.region) {
         return;
     }
     Record record;
-    record.info = *claim.info;
-    record.info.incarnation = claim.incarnation;
-    record.counter = claim.counter;
-    record.leaving = claim.leaving;
-    record.listedLeaving = !records_.contains(claim.id) && listedLeaving_.contains(claim.id);
-    setHealth(record, claim.health, now);
-    records_[claim.id] = record;
-    spread(claim.id, true);
+    record.info = *update.info;
+    record.info.incarnation = update.incarnation;
+    record.counter = update.counter;
+    record.leaving = update.leaving;
+    record.listedLeaving = !records_.contains(update.id) && listedLeaving_.contains(update.id);
+    setHealth(record, update.health, now);
+    records_[update.id] = record;
+    enqueueUpdate(update.id, true);
     effects.push_back(MemberChanged{viewOf(record)});
 }
 
-void Membership::applyToRecord(Record &record, const MemberClaim &claim, Common::Time now,
+void Membership::applyToRecord(Record &record, const MemberUpdate &update, Common::Time now,
                                Effects &effects)
 {
-    const bool startsLeaving = claim.leaving && !record.leaving;
+    const bool startsLeaving = update.leaving && !record.leaving;
     const bool newer =
-        precedence(claim.counter, claim.health) > precedence(record.counter, record.health);
-    if (claim.health != Health::Alive && claim.counter < record.counter) {
-        corrections_.push_back(claimOf(record, false));
+        precedence(update.counter, update.health) > precedence(record.counter, record.health);
+    if (update.health != Health::Alive && update.counter < record.counter) {
+        corrections_.push_back(updateOf(record, false));
     }
     if (!startsLeaving && !newer) {
         return;
     }
     const MemberState before = viewOf(record).state;
-    const bool revived = newer && record.health == Health::Dead && claim.health != Health::Dead;
-    record.leaving = record.leaving || claim.leaving;
+    const bool revived = newer && record.health == Health::Dead && update.health != Health::Dead;
+    record.leaving = record.leaving || update.leaving;
     if (newer) {
-        record.counter = claim.counter;
-        setHealth(record, claim.health, now);
+        record.counter = update.counter;
+        setHealth(record, update.health, now);
     }
-    spread(claim.id, revived);
+    enqueueUpdate(update.id, revived);
     if (viewOf(record).state != before) {
         effects.push_back(MemberChanged{viewOf(record)});
     }
@@ -140,9 +140,9 @@
     if (it == records_.end() || it->second.health != Health::Alive) {
         return;
     }
-    MemberClaim claim = claimOf(it->second, false);
-    claim.health = Health::Suspect;
-    applyToRecord(it->second, claim, now, effects);
+    MemberUpdate update = updateOf(it->second, false);
+    update.health = Health::Suspect;
+    applyToRecord(it->second, update, now, effects);
 }
 
 void Membership::tick(Common::Time now, Effects &effects)
@@ -150,17 +150,17 @@
     for (auto it = records_.begin(); it != records_.end();) {
         Record &record = it->second;
         if (record.health == Health::Suspect && now >= record.suspicionEnds) {
-            MemberClaim claim = claimOf(record, false);
-            claim.health = Health::Dead;
-            applyToRecord(record, claim, now, effects);
+            MemberUpdate update = updateOf(record, false);
+            update.health = Health::Dead;
+            applyToRecord(record, update, now, effects);
         }
-        const bool forget =
+        const bool isExpired =
             record.health == Health::Dead && now - record.changed > options_.deadRetention;
-        if (forget) {
+        if (isExpired) {
             ++changes_;
-            rumors_.erase(it->first);
+            pendingUpdates_.erase(it->first);
         }
-        it = forget ? records_.erase(it) : std::next(it);
+        it = isExpired ? records_.erase(it) : std::next(it);
     }
 }
 
@@ -178,10 +178,10 @@
     }
 }
 
-void Membership::leave()
+void Membership::startLeaving()
 {
     leaving_ = true;
-    spread(self_.id, false);
+    enqueueUpdate(self_.id, false);
 }
 
 void Membership::setListedLeaving(const std::set<Common::InstanceId> &listed, Effects &effects)
@@ -201,43 +201,43 @@
     listedLeaving_ = listed;
 }
 
-std::vector<MemberClaim> Membership::takeClaims(std::size_t maxBytes)
+std::vector<MemberUpdate> Membership::takeUpdates(std::size_t maxBytes)
 {
     std::vector<std::pair<std::size_t, Common::InstanceId>> order;
-    order.reserve(rumors_.size());
-    for (const auto &[id, rumor] : rumors_) {
-        order.emplace_back(rumor.sent, id);
+    order.reserve(pendingUpdates_.size());
+    for (const auto &[id, pending] : pendingUpdates_) {
+        order.emplace_back(pending.sent, id);
     }
     std::sort(order.begin(), order.end());
-    std::vector<MemberClaim> claims;
-    const std::size_t limit = spreadLimit();
+    std::vector<MemberUpdate> updates;
+    const std::size_t limit = transmitLimit();
     for (const auto &[sent, id] : order) {
-        Rumor &rumor = rumors_[id];
-        auto claim = this->claim(id, rumor.withInfo);
-        const std::size_t size = claim ? encodedSize(*claim) : 0;
+        PendingUpdate &pending = pendingUpdates_[id];
+        auto update = this->update(id, pending.withInfo);
+        const std::size_t size = update ? encodedSize(*update) : 0;
         if (size > maxBytes) {
             continue;
         }
         maxBytes -= size;
-        if (claim) {
-            claims.push_back(std::move(*claim));
+        if (update) {
+            updates.push_back(std::move(*update));
         }
-        if (++rumor.sent >= limit) {
-            rumors_.erase(id);
+        if (++pending.sent >= limit) {
+            pendingUpdates_.erase(id);
         }
     }
-    return claims;
+    return updates;
 }
 
-void Membership::spread(const Common::InstanceId &id, bool withInfo)
+void Membership::enqueueUpdate(const Common::InstanceId &id, bool withInfo)
 {
     ++changes_;
-    rumors_[id] = Rumor{0, withInfo};
+    pendingUpdates_[id] = PendingUpdate{0, withInfo};
 }
 
-std::size_t Membership::spreadLimit() const
+std::size_t Membership::transmitLimit() const
 {
-    return SpreadFactor * binaryLogarithm(records_.size() + 2);
+    return RetransmitMultiplier * binaryLogarithm(records_.size() + 2);
 }
 
 Common::Duration Membership::suspicionTime() const
@@ -246,14 +246,14 @@
     return options_.probePeriod * static_cast<int>(periods);
 }
 
-MemberClaim Membership::claimOf(const Record &record, bool withInfo)
+MemberUpdate Membership::updateOf(const Record &record, bool withInfo)
 {
-    MemberClaim claim{record.info.id, record.info.incarnation, record.counter,
-                      record.health,  record.leaving,          std::nullopt};
+    MemberUpdate update{record.info.id, record.info.incarnation, record.counter,
+                        record.health,  record.leaving,          std::nullopt};
     if (withInfo) {
-        claim.info = record.info;
+        update.info = record.info;
     }
-    return claim;
+    return update;
 }
 
 MemberView Membership::viewOf(const Record &record)
@@ -269,31 +269,32 @@
     return view;
 }
 
-MemberClaim Membership::selfClaim(bool withInfo) const
+MemberUpdate Membership::selfUpdate(bool withInfo) const
 {
-    MemberClaim claim{self_.id, self_.incarnation, counter_, Health::Alive, leaving_, std::nullopt};
+    MemberUpdate update{self_.id,      self_.incarnation, counter_,
+                        Health::Alive, leaving_,          std::nullopt};
     if (withInfo) {
-        claim.info = self_;
+        update.info = self_;
     }
-    return claim;
+    return update;
 }
 
-std::optional<MemberClaim> Membership::claim(const Common::InstanceId &id, bool withInfo) const
+std::optional<MemberUpdate> Membership::update(const Common::InstanceId &id, bool withInfo) const
 {
     if (id == self_.id) {
-        return selfClaim(withInfo);
+        return selfUpdate(withInfo);
     }
     const auto it = records_.find(id);
-    return it == records_.end() ? std::nullopt : std::optional(claimOf(it->second, withInfo));
+    return it == records_.end() ? std::nullopt : std::optional(updateOf(it->second, withInfo));
 }
 
-std::vector<MemberClaim> Membership::allClaims() const
+std::vector<MemberUpdate> Membership::allUpdates() const
 {
-    std::vector<MemberClaim> claims{selfClaim(true)};
+    std::vector<MemberUpdate> updates{selfUpdate(true)};
     for (const auto &[id, record] : records_) {
-        claims.push_back(claimOf(record, true));
+        updates.push_back(updateOf(record, true));
     }
-    return claims;
+    return updates;
 }
 
 std::optional<MemberView> Membership::view(const Common::InstanceId &id) const
@@ -353,17 +354,17 @@
 
 std::uint64_t Membership::hash() const
 {
-    const auto hashOne = [](const MemberClaim &claim) {
-        const std::uint64_t facts = (claim.incarnation << 1) ^ (claim.leaving ? 1u : 0u);
-        return Common::stableHash(claim.id.text(), facts);
+    const auto hashOne = [](const MemberUpdate &update) {
+        const std::uint64_t packed = (update.incarnation << 1) ^ (update.leaving ? 1u : 0u);
+        return Common::stableHash(update.id.text(), packed);
     };
-    std::uint64_t result = hashOne(selfClaim(false));
+    std::uint64_t result = hashOne(selfUpdate(false));
     for (const auto &[id, record] : records_) {
         // Each instance forgets the dead at its own time, so they are no part of the comparison.
         // Nor are suspicions and their refutations: with 5% loss one is always under way in a
         // region of 200, and each comparison ended in a transfer of the whole table.
         if (record.health != Health::Dead) {
-            result ^= hashOne(claimOf(record, false));
+            result ^= hashOne(updateOf(record, false));
         }
     }
     return result;
--- a/Source/Core/Cluster/Membership.h
+++ b/Source/Core/Cluster/Membership.h
@@ -26,7 +26,7 @@
     Membership(const ClusterOptions &options, MemberInfo self);
 
     /// Takes a claim in. Claims about this instance are answered, not believed.
-    void apply(const MemberClaim &claim, Common::Time now, Effects &effects);
+    void apply(const MemberUpdate &update, Common::Time now, Effects &effects);
     /// The probes of this instance found no answer from the member.
     void suspect(const Common::InstanceId &id, Common::Time now, Effects &effects);
     /// Declares members dead whose suspicion ran out, and forgets old ones.
@@ -37,14 +37,14 @@
     void restartSuspicions(Common::Time now);
     /// Moves the deadlines of suspicions, after a gap too short to be called a pause.
     void postponeSuspicions(Common::Duration gap);
-    void leave();
+    void startLeaving();
     /// Members that the platform's list calls leaving. The list lags: its word counts for as long
     /// as it stands, is not passed on, and does not hold for an incarnation that replaces the one
     /// it was said of. Otherwise the replacement of a leaving instance would get no work for its
     /// whole life.
     void setListedLeaving(const std::set<Common::InstanceId> &listed, Effects &effects);
     /// Claims to send along, the least spread first, up to a size.
-    std::vector<MemberClaim> takeClaims(std::size_t maxBytes);
+    std::vector<MemberUpdate> takeUpdates(std::size_t maxBytes);
 
     const MemberInfo &self() const
     {
@@ -62,7 +62,7 @@
     /// What the senders of outdated suspicions and deaths should know, since the last call. A
     /// member whose refutation missed one observer is suspected there until the suspicion ends; all
     /// others know better, and without this none of them would say so.
-    std::vector<MemberClaim> takeCorrections()
+    std::vector<MemberUpdate> takeCorrections()
     {
         return std::exchange(corrections_, {});
     }
@@ -76,10 +76,10 @@
     {
         return changes_;
     }
-    MemberClaim selfClaim(bool withInfo) const;
+    MemberUpdate selfUpdate(bool withInfo) const;
     /// What is believed of the member; nothing if it is not known.
-    std::optional<MemberClaim> claim(const Common::InstanceId &id, bool withInfo) const;
-    std::vector<MemberClaim> allClaims() const;
+    std::optional<MemberUpdate> update(const Common::InstanceId &id, bool withInfo) const;
+    std::vector<MemberUpdate> allUpdates() const;
     std::optional<MemberView> view(const Common::InstanceId &id) const;
     std::vector<MemberView> views() const;
     /// Members that answer as far as is known, this instance not among them; leaving ones are.
@@ -102,21 +102,21 @@
         Common::Time changed;
         Common::Time suspicionEnds;
     };
-    struct Rumor
+    struct PendingUpdate
     {
         std::size_t sent = 0;
         bool withInfo = false;
     };
 
-    void applyToSelf(const MemberClaim &claim, Effects &effects);
-    void applyToRecord(Record &record, const MemberClaim &claim, Common::Time now,
+    void applyToSelf(const MemberUpdate &update, Effects &effects);
+    void applyToRecord(Record &record, const MemberUpdate &update, Common::Time now,
                        Effects &effects);
-    void add(const MemberClaim &claim, Common::Time now, Effects &effects);
+    void add(const MemberUpdate &update, Common::Time now, Effects &effects);
     void setHealth(Record &record, Health health, Common::Time now);
-    void spread(const Common::InstanceId &id, bool withInfo);
-    std::size_t spreadLimit() const;
+    void enqueueUpdate(const Common::InstanceId &id, bool withInfo);
+    std::size_t transmitLimit() const;
     Common::Duration suspicionTime() const;
-    static MemberClaim claimOf(const Record &record, bool withInfo);
+    static MemberUpdate updateOf(const Record &record, bool withInfo);
     static MemberView viewOf(const Record &record);
 
     ClusterOptions options_;
@@ -125,11 +125,11 @@
     bool leaving_ = false;
     std::uint64_t changes_ = 0;
     std::uint32_t refutations_ = 0;
-    std::vector<MemberClaim> corrections_;
+    std::vector<MemberUpdate> corrections_;
     std::optional<Common::Incarnation> supersededBy_;
     std::map<Common::InstanceId, Record> records_;
     std::set<Common::InstanceId> listedLeaving_;
-    std::map<Common::InstanceId, Rumor> rumors_;
+    std::map<Common::InstanceId, PendingUpdate> pendingUpdates_;
 };
 
 } // namespace LaburnumChute::Cluster
--- a/Source/Core/Cluster/Messages.h
+++ b/Source/Core/Cluster/Messages.h
@@ -14,7 +14,7 @@
 
 /// A statement about one incarnation of a member. The member alone raises the counter, to refute a
 /// suspicion. Leaving is never taken back within an incarnation.
-struct MemberClaim
+struct MemberUpdate
 {
     Common::InstanceId id;
     Common::Incarnation incarnation = 0;
@@ -43,7 +43,7 @@
 };
 
 /// Carries only what every message carries.
-struct Carrier
+struct PiggybackOnly
 {
 };
 
@@ -55,7 +55,7 @@
 
 struct MembersPage
 {
-    std::vector<MemberClaim> claims;
+    std::vector<MemberUpdate> updates;
 };
 
 /// The load of the sender, for the instance that makes the summary of the region.
@@ -106,7 +106,7 @@
 };
 
 using GossipBody =
-    std::variant<Carrier, Ping, Ack, PingRequest, MembersRequest, MembersPage, LoadReport,
+    std::variant<PiggybackOnly, Ping, Ack, PingRequest, MembersRequest, MembersPage, LoadReport,
                  RegionsDigest, RegionsPage, ConfigurationRequest, ConfigurationChunk>;
 
 /// One datagram between two instances.
@@ -119,7 +119,7 @@
     ConfigurationDigest configuration;
     /// Hash of the notices that the sender holds; a difference makes the receiver send its own.
     std::uint64_t noticesHash = 0;
-    std::vector<MemberClaim> claims;
+    std::vector<MemberUpdate> updates;
     std::vector<Notice> notices;
     GossipBody body;
 };
--- a/Source/Core/Cluster/NodeParts.cpp
+++ b/Source/Core/Cluster/NodeImpl.cpp
@@ -1,4 +1,4 @@
-#include "Cluster/NodeParts.h"
+#include "Cluster/NodeImpl.h"
 
 #include <algorithm>
 
@@ -10,13 +10,13 @@
 namespace {
 
 /// How many joinHolds a new instance waits in all for the platform's list.
-constexpr int HoldsWithoutSeeds = 5;
-constexpr Common::milliseconds LeaveLifetime{10 * 60 * 1000};
+constexpr int MaxJoinHoldsWithoutSeeds = 5;
+constexpr Common::milliseconds LeavingNoticeLifetime{10 * 60 * 1000};
 
 } // namespace
 
-ClusterNode::Parts::Parts(const ClusterOptions &clusterOptions, const MemberInfo &self,
-                          std::uint64_t seed, Common::Time now)
+ClusterNode::Impl::Impl(const ClusterOptions &clusterOptions, const MemberInfo &self,
+                        std::uint64_t seed, Common::Time now)
     : options(clusterOptions)
     , membership(options, self)
     , detector(options, now)
@@ -28,25 +28,25 @@
     , lastInput(now)
     , random_(seed)
 {
-    directory.heard(self.id, self.incarnation);
+    directory.recordIncarnation(self.id, self.incarnation);
     // Instances that start together shall not all speak at the same moment afterwards.
     std::uniform_int_distribution<int> phase(0, 999);
-    const auto later = [&] { return now + Common::milliseconds(phase(random_)); };
+    const auto randomPhase = [&] { return now + Common::milliseconds(phase(random_)); };
     timers_ = {now,
-               later(),
-               later(),
-               later(),
-               later(),
-               later(),
-               now + options.joinHold * HoldsWithoutSeeds};
+               randomPhase(),
+               randomPhase(),
+               randomPhase(),
+               randomPhase(),
+               randomPhase(),
+               now + options.joinHold * MaxJoinHoldsWithoutSeeds};
 }
 
-Effects ClusterNode::Parts::takeEffects()
+Effects ClusterNode::Impl::takeEffects()
 {
     return std::exchange(effects_, {});
 }
 
-const ClusterNode::Parts::Roles &ClusterNode::Parts::roles()
+const ClusterNode::Impl::Roles &ClusterNode::Impl::roles()
 {
     if (roles_.changes == membership.changes()) {
         return roles_;
@@ -61,14 +61,14 @@
     roles_.eligible = membership.eligible();
     const auto bridges = chooseByRendezvous(roles_.eligible, "bridge/" + region, options.bridges);
     roles_.bridge = isAmong(bridges);
-    roles_.summaryMaker = bridges.empty() ? self.id : bridges.front();
+    roles_.summaryPublisher = bridges.empty() ? self.id : bridges.front();
     const auto watchers = watchersPerRegion(options, directory.otherRegions().size() + 1);
     roles_.watcher =
         isAmong(chooseByRendezvous(roles_.eligible, "configuration-watch/" + region, watchers));
     return roles_;
 }
 
-void ClusterNode::Parts::updateSeeds(const std::vector<Seed> &seeds)
+void ClusterNode::Impl::updateSeeds(const std::vector<Seed> &seeds)
 {
     if (!directory.seedsKnown() && !seeds.empty()) {
         timers_.holdEnds = std::min(timers_.holdEnds, lastInput + options.joinHold);
@@ -84,32 +84,32 @@
     roles_.changes = ~0ull;
 }
 
-void ClusterNode::Parts::configurationRead(const ConfigurationVersion &version, Common::Time now)
+void ClusterNode::Impl::configurationRead(const ConfigurationVersion &version, Common::Time now)
 {
-    const bool news = version.number > store.newestMet();
+    const bool isNewer = version.number > store.newestSeen();
     store.offer(version, {}, effects_);
-    if (news) {
+    if (isNewer) {
         watch.succeeded(now);
     } else {
         watch.failed(now);
     }
 }
 
-void ClusterNode::Parts::configurationUnchanged(Common::Time now)
+void ClusterNode::Impl::configurationUnchanged(Common::Time now)
 {
     watch.succeeded(now);
 }
 
-void ClusterNode::Parts::configurationReadFailed(Common::Time now)
+void ClusterNode::Impl::configurationReadFailed(Common::Time now)
 {
     watch.failed(now);
 }
 
-void ClusterNode::Parts::configurationValidated(Common::ConfigurationNumber number,
-                                                const Common::Result<void> &verdict, Common::Time)
+void ClusterNode::Impl::configurationValidated(Common::ConfigurationNumber number,
+                                               const Common::Result<void> &result, Common::Time)
 {
     const auto before = store.digest();
-    store.judged(number, verdict, effects_);
+    store.validated(number, result, effects_);
     if (store.digest() == before) {
         return;
     }
@@ -120,16 +120,16 @@
     }
 }
 
-void ClusterNode::Parts::announceLeaving(Common::Time now)
+void ClusterNode::Impl::announceLeaving(Common::Time now)
 {
-    membership.leave();
+    membership.startLeaving();
     const MemberInfo &self = membership.self();
     publishNotice({NoticeKind::InstanceLeaving, self.id.text(), self.region.text(),
-                   self.incarnation, true, LeaveLifetime},
+                   self.incarnation, true, LeavingNoticeLifetime},
                   now);
 }
 
-void ClusterNode::Parts::publishNotice(const Notice &notice, Common::Time now)
+void ClusterNode::Impl::publishNotice(const Notice &notice, Common::Time now)
 {
     if (!notices.apply(notice, now)) {
         return;
@@ -139,9 +139,9 @@
     floodOtherRegions({notice}, directory.otherRegions().size(), 2);
 }
 
-void ClusterNode::Parts::send(const Address &to, Reach reach, GossipBody body,
-                              std::vector<MemberClaim> firstClaims,
-                              std::vector<Notice> firstNotices)
+void ClusterNode::Impl::send(const Address &to, Locality locality, GossipBody body,
+                             std::vector<MemberUpdate> firstUpdates,
+                             std::vector<Notice> firstNotices)
 {
     if (to.empty()) {
         return;
@@ -153,12 +153,12 @@
     message.configuration = store.digest();
     message.noticesHash = notices.hash();
     message.body = std::move(body);
-    message.claims = std::move(firstClaims);
+    message.updates = std::move(firstUpdates);
     message.notices = std::move(firstNotices);
     std::size_t size = encodedSize(message);
-    if (reach == Reach::OwnRegion && size < MaxDatagramBytes) {
-        const auto claims = membership.takeClaims(MaxDatagramBytes - size);
-        message.claims.insert(message.claims.end(), claims.begin(), claims.end());
+    if (locality == Locality::OwnRegion && size < MaxDatagramBytes) {
+        const auto updates = membership.takeUpdates(MaxDatagramBytes - size);
+        message.updates.insert(message.updates.end(), updates.begin(), updates.end());
         size = encodedSize(message);
     }
     ++traffic.messagesSent;
@@ -166,22 +166,22 @@
     effects_.push_back(SendGossip{to, std::move(message)});
 }
 
-std::optional<Address> ClusterNode::Parts::memberAddress(const Common::InstanceId &id) const
+std::optional<Address> ClusterNode::Impl::memberAddress(const Common::InstanceId &id) const
 {
     const auto view = membership.view(id);
     return view ? std::optional(directory.gossipAddress(view->info)) : std::nullopt;
 }
 
-void ClusterNode::Parts::sendToMember(const Common::InstanceId &id, GossipBody body,
-                                      std::vector<MemberClaim> firstClaims)
+void ClusterNode::Impl::sendToMember(const Common::InstanceId &id, GossipBody body,
+                                     std::vector<MemberUpdate> firstUpdates)
 {
     const auto address = memberAddress(id);
     if (address) {
-        send(*address, Reach::OwnRegion, std::move(body), std::move(firstClaims));
+        send(*address, Locality::OwnRegion, std::move(body), std::move(firstUpdates));
     }
 }
 
-const Common::InstanceId *ClusterNode::Parts::randomPeer()
+const Common::InstanceId *ClusterNode::Impl::randomPeer()
 {
     const auto &peers = roles().peers;
     if (peers.empty()) {
@@ -191,7 +191,7 @@
     return &peers[index(random_)];
 }
 
-void ClusterNode::Parts::flood(const std::vector<Notice> &news)
+void ClusterNode::Impl::flood(const std::vector<Notice> &newNotices)
 {
     std::vector<Common::InstanceId> chosen;
     const auto &peers = roles().peers;
@@ -200,13 +200,13 @@
     for (const Common::InstanceId &id : chosen) {
         const auto address = memberAddress(id);
         if (address) {
-            send(*address, Reach::OwnRegion, Carrier{}, {}, news);
+            send(*address, Locality::OwnRegion, PiggybackOnly{}, {}, newNotices);
         }
     }
 }
 
-void ClusterNode::Parts::floodOtherRegions(const std::vector<Notice> &news, std::size_t regions,
-                                           std::size_t contacts)
+void ClusterNode::Impl::floodOtherRegions(const std::vector<Notice> &newNotices,
+                                          std::size_t regions, std::size_t contacts)
 {
     const auto others = directory.otherRegions();
     std::vector<Common::RegionName> chosen;
@@ -215,20 +215,20 @@
         for (std::size_t i = 0; i < contacts; ++i) {
             const auto address = directory.contact(region, random_);
             if (address) {
-                send(*address, Reach::OtherRegion, Carrier{}, {}, news);
+                send(*address, Locality::OtherRegion, PiggybackOnly{}, {}, newNotices);
             }
         }
     }
 }
 
-MemberView ClusterNode::Parts::listed(MemberView view) const
+MemberView ClusterNode::Impl::preferListedAddresses(MemberView view) const
 {
     view.info = directory.withListedAddresses(std::move(view.info));
     return view;
 }
 
 std::optional<Common::Incarnation>
-ClusterNode::Parts::newestIncarnation(const Common::InstanceId &id) const
+ClusterNode::Impl::newestIncarnation(const Common::InstanceId &id) const
 {
     const auto view = membership.view(id);
     const auto heard = directory.newestIncarnation(id);
@@ -238,7 +238,7 @@
     return std::max(view->info.incarnation, heard.value_or(0));
 }
 
-nlohmann::json ClusterNode::Parts::dump() const
+nlohmann::json ClusterNode::Impl::dump() const
 {
     nlohmann::json members = nlohmann::json::array();
     for (const MemberView &view : membership.views()) {
@@ -269,7 +269,7 @@
     return {{"self", membership.self().id.text()},
             {"incarnation", membership.self().incarnation},
             {"leaving", membership.leaving()},
-            {"doubt", detector.doubt()},
+            {"doubt", detector.localHealthScore()},
             {"refutations", membership.refutations()},
             {"pauses", pauses_},
             {"members", std::move(members)},
--- a/Source/Core/Cluster/NodeParts.h
+++ b/Source/Core/Cluster/NodeImpl.h
@@ -18,11 +18,11 @@
 
 /// Joins the parts of a node: hands them what arrives, and makes messages of what they want to say.
 /// Private to the library.
-class ClusterNode::Parts
+class ClusterNode::Impl
 {
 public:
-    Parts(const ClusterOptions &options, const MemberInfo &self, std::uint64_t seed,
-          Common::Time now);
+    Impl(const ClusterOptions &options, const MemberInfo &self, std::uint64_t seed,
+         Common::Time now);
 
     void receive(const Address &from, const GossipMessage &message, Common::Time now);
     void tick(Common::Time now, Common::WallTime wallNow);
@@ -31,12 +31,12 @@
     void configurationUnchanged(Common::Time now);
     void configurationReadFailed(Common::Time now);
     void configurationValidated(Common::ConfigurationNumber number,
-                                const Common::Result<void> &verdict, Common::Time now);
+                                const Common::Result<void> &result, Common::Time now);
     void announceLeaving(Common::Time now);
     void publishNotice(const Notice &notice, Common::Time now);
     Effects takeEffects();
 
-    MemberView listed(MemberView view) const;
+    MemberView preferListedAddresses(MemberView view) const;
     std::optional<Common::Incarnation> newestIncarnation(const Common::InstanceId &id) const;
     nlohmann::json dump() const;
 
@@ -59,17 +59,17 @@
         std::uint64_t changes = ~0ull;
         std::vector<Common::InstanceId> peers;
         std::vector<Common::InstanceId> eligible;
-        Common::InstanceId summaryMaker;
+        Common::InstanceId summaryPublisher;
         bool bridge = false;
         bool watcher = false;
     };
     const Roles &roles();
 
 private:
-    enum class Reach { OwnRegion, OtherRegion };
+    enum class Locality { OwnRegion, OtherRegion };
 
     /// An indirect probe that this instance does for another.
-    struct Relay
+    struct IndirectProbe
     {
         Address requester;
         std::uint32_t sequence = 0;
@@ -92,12 +92,13 @@
     };
 
     // What arrives; NodeReceive.cpp.
-    void enter(Common::Time now);
-    void takeSender(const Address &from, const GossipMessage &message, Common::Time now);
-    void takeNotices(const GossipMessage &message, Common::Time now);
-    bool learnNotice(const Notice &notice, Common::Time now);
-    void takeConfiguration(const Address &from, const GossipMessage &message, Common::Time now);
-    void handle(const Carrier &, const Address &, const GossipMessage &, Common::Time) { }
+    void detectPause(Common::Time now);
+    void handleSenderUpdates(const Address &from, const GossipMessage &message, Common::Time now);
+    void handleNotices(const GossipMessage &message, Common::Time now);
+    bool applyNotice(const Notice &notice, Common::Time now);
+    void handleConfigurationDigest(const Address &from, const GossipMessage &message,
+                                   Common::Time now);
+    void handle(const PiggybackOnly &, const Address &, const GossipMessage &, Common::Time) { }
     void handle(const Ping &ping, const Address &from, const GossipMessage &message,
                 Common::Time now);
     void handle(const Ack &ack, const Address &from, const GossipMessage &message,
@@ -118,13 +119,13 @@
                 const GossipMessage &message, Common::Time now);
     void handle(const ConfigurationChunk &chunk, const Address &from, const GossipMessage &message,
                 Common::Time now);
-    Reach reachOf(const GossipMessage &message) const;
-    void settleConfiguration(Common::Time now);
+    Locality localityOf(const GossipMessage &message) const;
+    void updateHold(Common::Time now);
 
     // What time brings; NodeTick.cpp.
     void probe(Common::Time now);
     void join(Common::Time now);
-    void releaseHold(Common::Time now);
+    void releaseHoldIfDue(Common::Time now);
     void compareMembers(Common::Time now);
     void exchangeRegions(Common::Time now);
     void exchangeWithOtherRegion(Common::Time now);
@@ -132,13 +133,13 @@
     Common::Duration reportInterval();
     RegionSummary makeSummary(Common::Time now, Common::WallTime wallNow);
 
-    // Sending; NodeParts.cpp.
-    void send(const Address &to, Reach reach, GossipBody body,
-              std::vector<MemberClaim> firstClaims = {}, std::vector<Notice> firstNotices = {});
+    // Sending; NodeImpl.cpp.
+    void send(const Address &to, Locality locality, GossipBody body,
+              std::vector<MemberUpdate> firstUpdates = {}, std::vector<Notice> firstNotices = {});
     void sendToMember(const Common::InstanceId &id, GossipBody body,
-                      std::vector<MemberClaim> firstClaims = {});
-    void flood(const std::vector<Notice> &news);
-    void floodOtherRegions(const std::vector<Notice> &news, std::size_t regions,
+                      std::vector<MemberUpdate> firstUpdates = {});
+    void flood(const std::vector<Notice> &newNotices);
+    void floodOtherRegions(const std::vector<Notice> &newNotices, std::size_t regions,
                            std::size_t contacts);
     std::optional<Address> memberAddress(const Common::InstanceId &id) const;
     const Common::InstanceId *randomPeer();
@@ -148,9 +149,9 @@
     Roles roles_;
     Timers timers_;
     /// Who was heard, and the newest version they named, until the hold is released.
-    std::set<Common::InstanceId> answered_;
-    Common::ConfigurationNumber newestHeard_ = 0;
-    std::map<std::uint32_t, Relay> relays_;
+    std::set<Common::InstanceId> heardPeers_;
+    Common::ConfigurationNumber newestPeerNumber_ = 0;
+    std::map<std::uint32_t, IndirectProbe> indirectProbes_;
     std::map<Common::InstanceId, Report> reports_;
     std::uint32_t refutationsSeen_ = 0;
     std::uint64_t pauses_ = 0;
--- a/Source/Core/Cluster/NodeReceive.cpp
+++ b/Source/Core/Cluster/NodeReceive.cpp
@@ -1,13 +1,13 @@
 #include <algorithm>
 
 #include "Cluster/Codec.h"
-#include "Cluster/NodeParts.h"
+#include "Cluster/NodeImpl.h"
 
 namespace LaburnumChute::Cluster {
 
 namespace {
 
-constexpr Common::milliseconds RelayLifetime{2000};
+constexpr Common::milliseconds IndirectProbeLifetime{2000};
 /// Datagrams of summaries or notices in answer to one digest.
 constexpr std::size_t MaxPages = 3;
 /// What a page may take beside the other contents of its datagram.
@@ -37,14 +37,14 @@
 
 } // namespace
 
-void ClusterNode::Parts::enter(Common::Time now)
+void ClusterNode::Impl::detectPause(Common::Time now)
 {
     const Common::Duration gap = now - lastInput;
     lastInput = std::max(lastInput, now);
     if (gap > options.pauseThreshold) {
         // The process was stopped, or starved: silence of the others in that time is its own.
         ++pauses_;
-        detector.abandonProbe(now);
+        detector.cancelProbe(now);
         membership.restartSuspicions(now);
         effects_.push_back(
             ResumedAfterPause{std::chrono::duration_cast<Common::milliseconds>(gap)});
@@ -55,81 +55,80 @@
     }
 }
 
-ClusterNode::Parts::Reach ClusterNode::Parts::reachOf(const GossipMessage &message) const
+ClusterNode::Impl::Locality ClusterNode::Impl::localityOf(const GossipMessage &message) const
 {
-    return message.region == membership.self().region ? Reach::OwnRegion : Reach::OtherRegion;
+    return message.region == membership.self().region ? Locality::OwnRegion : Locality::OtherRegion;
 }
 
-void ClusterNode::Parts::receive(const Address &from, const GossipMessage &message,
-                                 Common::Time now)
+void ClusterNode::Impl::receive(const Address &from, const GossipMessage &message, Common::Time now)
 {
-    enter(now);
+    detectPause(now);
     ++traffic.messagesReceived;
     traffic.bytesReceived += encodedSize(message);
     if (message.sender == membership.self().id) {
-        MemberClaim claim{message.sender, message.incarnation, 0, Health::Alive, false, {}};
-        membership.apply(claim, now, effects_);
+        MemberUpdate update{message.sender, message.incarnation, 0, Health::Alive, false, {}};
+        membership.apply(update, now, effects_);
         return;
     }
-    directory.heard(message.sender, message.incarnation);
+    directory.recordIncarnation(message.sender, message.incarnation);
     if (store.held()) {
-        answered_.insert(message.sender);
-        newestHeard_ = std::max(newestHeard_, message.configuration.number);
+        heardPeers_.insert(message.sender);
+        newestPeerNumber_ = std::max(newestPeerNumber_, message.configuration.number);
     }
-    if (reachOf(message) == Reach::OwnRegion) {
-        takeSender(from, message, now);
+    if (localityOf(message) == Locality::OwnRegion) {
+        handleSenderUpdates(from, message, now);
     }
-    takeNotices(message, now);
-    takeConfiguration(from, message, now);
+    handleNotices(message, now);
+    handleConfigurationDigest(from, message, now);
     std::visit([&](const auto &body) { handle(body, from, message, now); }, message.body);
-    settleConfiguration(now);
+    updateHold(now);
 }
 
-void ClusterNode::Parts::takeSender(const Address &from, const GossipMessage &message,
-                                    Common::Time now)
+void ClusterNode::Impl::handleSenderUpdates(const Address &from, const GossipMessage &message,
+                                            Common::Time now)
 {
-    for (const MemberClaim &claim : message.claims) {
-        membership.apply(claim, now, effects_);
+    for (const MemberUpdate &update : message.updates) {
+        membership.apply(update, now, effects_);
     }
     if (membership.refutations() != refutationsSeen_) {
         refutationsSeen_ = membership.refutations();
         detector.selfSuspected();
         // The one who told of the suspicion hears the answer first, and passes it on.
-        send(from, Reach::OwnRegion, Carrier{}, {membership.selfClaim(true)});
+        send(from, Locality::OwnRegion, PiggybackOnly{}, {membership.selfUpdate(true)});
     }
     auto corrections = membership.takeCorrections();
     if (!corrections.empty()) {
-        send(from, Reach::OwnRegion, Carrier{}, std::move(corrections));
+        send(from, Locality::OwnRegion, PiggybackOnly{}, std::move(corrections));
     }
-    const auto known = membership.claim(message.sender, false);
+    const auto known = membership.update(message.sender, false);
     if (!known || known->incarnation < message.incarnation) {
-        send(from, Reach::OwnRegion, MembersRequest{0}, {membership.selfClaim(true)});
+        send(from, Locality::OwnRegion, MembersRequest{0}, {membership.selfUpdate(true)});
         return;
     }
     // It answers this with a higher counter, or learns that it was replaced.
     if (known->health != Health::Alive || known->incarnation > message.incarnation) {
-        send(from, Reach::OwnRegion, Carrier{}, {*known});
+        send(from, Locality::OwnRegion, PiggybackOnly{}, {*known});
     }
 }
 
-void ClusterNode::Parts::takeNotices(const GossipMessage &message, Common::Time now)
+void ClusterNode::Impl::handleNotices(const GossipMessage &message, Common::Time now)
 {
-    std::vector<Notice> news;
+    std::vector<Notice> newNotices;
     for (const Notice &notice : message.notices) {
-        if (learnNotice(notice, now)) {
-            news.push_back(notice);
+        if (applyNotice(notice, now)) {
+            newNotices.push_back(notice);
         }
     }
-    if (news.empty()) {
+    if (newNotices.empty()) {
         return;
     }
-    flood(news);
+    flood(newNotices);
     if (roles().bridge) {
-        floodOtherRegions(news, options.bridges, 1);
+        floodOtherRegions(newNotices, options.bridges, 1);
     }
 }
 
-bool ClusterNode::Parts::learnNotice(const Notice &notice, Common::Time now)
+bool ClusterNode::Impl::applyNotice(const Notice &notice, Common::Time now)
 {
     if (!notices.apply(notice, now)) {
         return false;
@@ -137,104 +136,104 @@
     effects_.push_back(NoticeReceived{notice});
     if (notice.kind == NoticeKind::InstanceLeaving) {
         const Common::InstanceId id(notice.subject);
-        directory.instanceLeaves(id, notice.version);
-        auto claim = membership.claim(id, false);
-        if (claim && id != membership.self().id && claim->incarnation == notice.version) {
-            claim->leaving = true;
-            membership.apply(*claim, now, effects_);
+        directory.recordLeaving(id, notice.version);
+        auto update = membership.update(id, false);
+        if (update && id != membership.self().id && update->incarnation == notice.version) {
+            update->leaving = true;
+            membership.apply(*update, now, effects_);
         }
     }
     return true;
 }
 
-void ClusterNode::Parts::takeConfiguration(const Address &from, const GossipMessage &message,
-                                           Common::Time now)
+void ClusterNode::Impl::handleConfigurationDigest(const Address &from, const GossipMessage &message,
+                                                  Common::Time now)
 {
     store.compare(message.configuration, message.sender, effects_);
-    const auto request = fetch.heard(from, message.configuration, store, now);
+    const auto request = fetch.onAnnouncement(from, message.configuration, store, now);
     if (request) {
-        send(request->to, reachOf(message), request->request);
+        send(request->to, localityOf(message), request->request);
     }
 }
 
-void ClusterNode::Parts::handle(const Ping &ping, const Address &from, const GossipMessage &message,
-                                Common::Time now)
+void ClusterNode::Impl::handle(const Ping &ping, const Address &from, const GossipMessage &message,
+                               Common::Time now)
 {
     std::vector<Notice> missing;
     if (message.noticesHash != notices.hash()) {
         missing = notices.sample(PageBytes / 2, random_, now);
     }
-    send(from, reachOf(message), Ack{ping.sequence}, {}, std::move(missing));
+    send(from, localityOf(message), Ack{ping.sequence}, {}, std::move(missing));
 }
 
-void ClusterNode::Parts::handle(const Ack &ack, const Address &, const GossipMessage &,
-                                Common::Time)
+void ClusterNode::Impl::handle(const Ack &ack, const Address &, const GossipMessage &, Common::Time)
 {
     detector.acknowledged(ack.sequence);
-    const auto relay = relays_.find(ack.sequence);
-    if (relay != relays_.end()) {
-        send(relay->second.requester, Reach::OwnRegion, Ack{relay->second.sequence});
-        relays_.erase(relay);
+    const auto indirectProbe = indirectProbes_.find(ack.sequence);
+    if (indirectProbe != indirectProbes_.end()) {
+        send(indirectProbe->second.requester, Locality::OwnRegion,
+             Ack{indirectProbe->second.sequence});
+        indirectProbes_.erase(indirectProbe);
     }
 }
 
-void ClusterNode::Parts::handle(const PingRequest &request, const Address &from,
-                                const GossipMessage &, Common::Time now)
+void ClusterNode::Impl::handle(const PingRequest &request, const Address &from,
+                               const GossipMessage &, Common::Time now)
 {
-    std::erase_if(relays_, [now](const auto &item) { return now >= item.second.expires; });
+    std::erase_if(indirectProbes_, [now](const auto &item) { return now >= item.second.expires; });
     const std::uint32_t sequence = detector.nextSequence();
-    relays_[sequence] = {from, request.sequence, now + RelayLifetime};
+    indirectProbes_[sequence] = {from, request.sequence, now + IndirectProbeLifetime};
     sendToMember(request.target, Ping{sequence});
 }
 
-void ClusterNode::Parts::handle(const MembersRequest &request, const Address &from,
-                                const GossipMessage &message, Common::Time)
+void ClusterNode::Impl::handle(const MembersRequest &request, const Address &from,
+                               const GossipMessage &message, Common::Time)
 {
-    if (reachOf(message) != Reach::OwnRegion || request.hash == membership.hash()) {
+    if (localityOf(message) != Locality::OwnRegion || request.hash == membership.hash()) {
         return;
     }
-    const auto claims = membership.allClaims();
-    for (auto &page : paginate(claims, claims.size())) {
-        send(from, Reach::OwnRegion, MembersPage{std::move(page)});
+    const auto updates = membership.allUpdates();
+    for (auto &page : paginate(updates, updates.size())) {
+        send(from, Locality::OwnRegion, MembersPage{std::move(page)});
     }
 }
 
-void ClusterNode::Parts::handle(const MembersPage &page, const Address &,
-                                const GossipMessage &message, Common::Time now)
+void ClusterNode::Impl::handle(const MembersPage &page, const Address &,
+                               const GossipMessage &message, Common::Time now)
 {
-    if (reachOf(message) != Reach::OwnRegion) {
+    if (localityOf(message) != Locality::OwnRegion) {
         return;
     }
-    for (const MemberClaim &claim : page.claims) {
-        membership.apply(claim, now, effects_);
+    for (const MemberUpdate &update : page.updates) {
+        membership.apply(update, now, effects_);
     }
     // The page is an answer to this instance; whoever sent it hears the news with the next probe.
     membership.takeCorrections();
 }
 
-void ClusterNode::Parts::handle(const LoadReport &report, const Address &,
-                                const GossipMessage &message, Common::Time now)
+void ClusterNode::Impl::handle(const LoadReport &report, const Address &,
+                               const GossipMessage &message, Common::Time now)
 {
     if (reports_.size() < MaxReports || reports_.contains(message.sender)) {
         reports_[message.sender] = {report.load, now};
     }
 }
 
-void ClusterNode::Parts::handle(const RegionsDigest &digest, const Address &from,
-                                const GossipMessage &message, Common::Time)
+void ClusterNode::Impl::handle(const RegionsDigest &digest, const Address &from,
+                               const GossipMessage &message, Common::Time)
 {
     auto newer = directory.newerThan(digest.versions);
     std::shuffle(newer.begin(), newer.end(), random_);
     for (auto &page : paginate(newer, MaxPages)) {
-        send(from, reachOf(message), RegionsPage{std::move(page)});
+        send(from, localityOf(message), RegionsPage{std::move(page)});
     }
     if (digest.answerWanted) {
-        send(from, reachOf(message), RegionsDigest{directory.versions(), false});
+        send(from, localityOf(message), RegionsDigest{directory.versions(), false});
     }
 }
 
-void ClusterNode::Parts::handle(const RegionsPage &page, const Address &, const GossipMessage &,
-                                Common::Time)
+void ClusterNode::Impl::handle(const RegionsPage &page, const Address &, const GossipMessage &,
+                               Common::Time)
 {
     for (const RegionSummary &summary : page.summaries) {
         if (directory.apply(summary)) {
@@ -243,20 +242,20 @@
     }
 }
 
-void ClusterNode::Parts::handle(const ConfigurationRequest &request, const Address &from,
-                                const GossipMessage &message, Common::Time)
+void ClusterNode::Impl::handle(const ConfigurationRequest &request, const Address &from,
+                               const GossipMessage &message, Common::Time)
 {
-    for (ConfigurationChunk &chunk : source.answer(request, store)) {
-        send(from, reachOf(message), std::move(chunk));
+    for (ConfigurationChunk &chunk : source.makeChunks(request, store)) {
+        send(from, localityOf(message), std::move(chunk));
     }
 }
 
-void ClusterNode::Parts::handle(const ConfigurationChunk &chunk, const Address &from,
-                                const GossipMessage &message, Common::Time now)
+void ClusterNode::Impl::handle(const ConfigurationChunk &chunk, const Address &from,
+                               const GossipMessage &message, Common::Time now)
 {
     const auto request = fetch.receive(from, chunk, store, now);
     if (request) {
-        send(request->to, reachOf(message), request->request);
+        send(request->to, localityOf(message), request->request);
     }
     auto complete = fetch.takeComplete();
     if (complete) {
@@ -264,10 +263,10 @@
     }
 }
 
-void ClusterNode::Parts::settleConfiguration(Common::Time now)
+void ClusterNode::Impl::updateHold(Common::Time now)
 {
     if (store.held()) {
-        releaseHold(now);
+        releaseHoldIfDue(now);
     }
 }
 
--- a/Source/Core/Cluster/NodeTick.cpp
+++ b/Source/Core/Cluster/NodeTick.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 
-#include "Cluster/LoadSum.h"
-#include "Cluster/NodeParts.h"
+#include "Cluster/LoadAggregator.h"
+#include "Cluster/NodeImpl.h"
 
 namespace LaburnumChute::Cluster {
 
@@ -19,7 +19,7 @@
 constexpr int ReportLifetimes = 3;
 
 /// True when the time has come; sets the next one.
-bool due(Common::Time &timer, Common::Duration interval, Common::Time now)
+bool isDue(Common::Time &timer, Common::Duration interval, Common::Time now)
 {
     if (now < timer) {
         return false;
@@ -30,9 +30,9 @@
 
 } // namespace
 
-void ClusterNode::Parts::tick(Common::Time now, Common::WallTime wallNow)
+void ClusterNode::Impl::tick(Common::Time now, Common::WallTime wallNow)
 {
-    enter(now);
+    detectPause(now);
     probe(now);
     membership.tick(now, effects_);
     join(now);
@@ -40,18 +40,18 @@
     exchangeRegions(now);
     exchangeWithOtherRegion(now);
     reportLoad(now, wallNow);
-    if (due(timers_.housekeeping, HousekeepingInterval, now)) {
+    if (isDue(timers_.housekeeping, HousekeepingInterval, now)) {
         notices.expire(now);
     }
     const auto request = fetch.tick(store, now);
     if (request) {
-        send(request->to, Reach::OwnRegion, request->request);
+        send(request->to, Locality::OwnRegion, request->request);
     }
-    settleConfiguration(now);
-    watch.tick(roles().watcher && !membership.supersededBy(), store.newestMet(), now, effects_);
+    updateHold(now);
+    watch.tick(roles().watcher && !membership.supersededBy(), store.newestSeen(), now, effects_);
 }
 
-void ClusterNode::Parts::probe(Common::Time now)
+void ClusterNode::Impl::probe(Common::Time now)
 {
     const ProbeActions actions = detector.tick(roles().peers, random_, now);
     for (const auto &ping : actions.pings) {
@@ -62,69 +62,69 @@
     }
     for (const Common::InstanceId &id : actions.suspects) {
         membership.suspect(id, now, effects_);
-        const auto claim = membership.claim(id, false);
-        if (claim) {
-            sendToMember(id, Carrier{}, {*claim});
+        const auto update = membership.update(id, false);
+        if (update) {
+            sendToMember(id, PiggybackOnly{}, {*update});
         }
     }
 }
 
-void ClusterNode::Parts::join(Common::Time now)
+void ClusterNode::Impl::join(Common::Time now)
 {
-    if (!due(timers_.join, JoinInterval, now)) {
+    if (!isDue(timers_.join, JoinInterval, now)) {
         return;
     }
     struct Target
     {
         Address address;
-        Reach reach = Reach::OwnRegion;
+        Locality locality = Locality::OwnRegion;
     };
     std::vector<Target> targets;
     for (const Common::InstanceId &id : membership.dead()) {
-        targets.push_back({memberAddress(id).value_or(Address()), Reach::OwnRegion});
+        targets.push_back({memberAddress(id).value_or(Address()), Locality::OwnRegion});
     }
     for (const Seed &seed : directory.ownSeeds()) {
-        const bool unheard =
-            store.held() ? !answered_.contains(seed.id) : !membership.view(seed.id).has_value();
-        if (unheard && seed.id != membership.self().id) {
-            targets.push_back({seed.gossipAddress, Reach::OwnRegion});
+        const bool isUnseen =
+            store.held() ? !heardPeers_.contains(seed.id) : !membership.view(seed.id).has_value();
+        if (isUnseen && seed.id != membership.self().id) {
+            targets.push_back({seed.gossipAddress, Locality::OwnRegion});
         }
     }
     std::shuffle(targets.begin(), targets.end(), random_);
     if (store.held()) {
         for (const Common::RegionName &region : directory.otherRegions()) {
             const auto address = directory.contact(region, random_);
-            targets.push_back({address.value_or(Address()), Reach::OtherRegion});
+            targets.push_back({address.value_or(Address()), Locality::OtherRegion});
         }
     }
     targets.resize(std::min(targets.size(), store.held() ? JoinPingsAtStart : JoinPingsLater));
     for (const Target &target : targets) {
-        send(target.address, target.reach, Ping{detector.nextSequence()},
-             {membership.selfClaim(true)});
+        send(target.address, target.locality, Ping{detector.nextSequence()},
+             {membership.selfUpdate(true)});
     }
 }
 
-void ClusterNode::Parts::releaseHold(Common::Time now)
+void ClusterNode::Impl::releaseHoldIfDue(Common::Time now)
 {
-    if (fetch.active() || store.newestMet() < newestHeard_) {
+    if (fetch.active() || store.newestSeen() < newestPeerNumber_) {
         if (now < timers_.holdEnds + options.joinHold) {
             return;
         }
     }
     const auto seeds = directory.ownSeeds();
     const bool allAnswered = std::all_of(seeds.begin(), seeds.end(), [this](const Seed &seed) {
-        return seed.id == membership.self().id || answered_.contains(seed.id);
+        return seed.id == membership.self().id || heardPeers_.contains(seed.id);
     });
-    const bool peersHoldVersion = newestHeard_ != 0 && !seeds.empty() && allAnswered;
-    if (peersHoldVersion || now >= timers_.holdEnds) {
+    const bool versionKnownFromPeers = newestPeerNumber_ != 0 && !seeds.empty() && allAnswered;
+    if (versionKnownFromPeers || now >= timers_.holdEnds) {
         store.release(effects_);
-        answered_.clear();
+        heardPeers_.clear();
     }
 }
 
-void ClusterNode::Parts::compareMembers(Common::Time now)
+void ClusterNode::Impl::compareMembers(Common::Time now)
 {
-    if (!due(timers_.compareMembers, CompareMembersInterval, now)) {
+    if (!isDue(timers_.compareMembers, CompareMembersInterval, now)) {
         return;
     }
     const Common::InstanceId *peer = randomPeer();
@@ -133,9 +133,10 @@
     }
 }
 
-void ClusterNode::Parts::exchangeRegions(Common::Time now)
+void ClusterNode::Impl::exchangeRegions(Common::Time now)
 {
-    if (!due(timers_.exchangeRegions, ExchangeInterval, now) || directory.otherRegions().empty()) {
+    if (!isDue(timers_.exchangeRegions, ExchangeInterval, now)
+        || directory.otherRegions().empty()) {
         return;
     }
     const Common::InstanceId *peer = randomPeer();
@@ -144,9 +145,9 @@
     }
 }
 
-void ClusterNode::Parts::exchangeWithOtherRegion(Common::Time now)
+void ClusterNode::Impl::exchangeWithOtherRegion(Common::Time now)
 {
-    if (!due(timers_.bridge, ExchangeInterval, now) || !roles().bridge) {
+    if (!isDue(timers_.bridge, ExchangeInterval, now) || !roles().bridge) {
         return;
     }
     const auto regions = directory.otherRegions();
@@ -156,25 +157,25 @@
     std::uniform_int_distribution<std::size_t> index(0, regions.size() - 1);
     const auto address = directory.contact(regions[index(random_)], random_);
     if (address) {
-        send(*address, Reach::OtherRegion, RegionsDigest{directory.versions(), true});
+        send(*address, Locality::OtherRegion, RegionsDigest{directory.versions(), true});
     }
 }
 
-Common::Duration ClusterNode::Parts::reportInterval()
+Common::Duration ClusterNode::Impl::reportInterval()
 {
     const auto members = static_cast<int>(roles().peers.size()) + 1;
     return std::max<Common::Duration>(directory.summaryInterval(),
                                       options.reportIntervalPerMember * members);
 }
 
-void ClusterNode::Parts::reportLoad(Common::Time now, Common::WallTime wallNow)
+void ClusterNode::Impl::reportLoad(Common::Time now, Common::WallTime wallNow)
 {
-    if (!due(timers_.loadReport, reportInterval(), now)) {
+    if (!isDue(timers_.loadReport, reportInterval(), now)) {
         return;
     }
-    const Common::InstanceId maker = roles().summaryMaker;
-    if (maker != membership.self().id) {
-        sendToMember(maker, LoadReport{localLoad});
+    const Common::InstanceId publisher = roles().summaryPublisher;
+    if (publisher != membership.self().id) {
+        sendToMember(publisher, LoadReport{localLoad});
         return;
     }
     const RegionSummary summary = makeSummary(now, wallNow);
@@ -183,7 +184,7 @@
     }
 }
 
-RegionSummary ClusterNode::Parts::makeSummary(Common::Time now, Common::WallTime wallNow)
+RegionSummary ClusterNode::Impl::makeSummary(Common::Time now, Common::WallTime wallNow)
 {
     RegionSummary summary;
     summary.region = membership.self().region;
@@ -195,7 +196,7 @@
     for (const Common::InstanceId &id : contacts) {
         summary.contacts.push_back(membership.view(id)->info);
     }
-    LoadSum sum;
+    LoadAggregator sum;
     sum.add(localLoad);
     const auto lifetime = reportInterval() * ReportLifetimes;
     std::erase_if(reports_,
--- a/Source/Core/Cluster/NoticeTable.cpp
+++ b/Source/Core/Cluster/NoticeTable.cpp
@@ -11,8 +11,8 @@
 
 /// A notice with less time left is not passed on: it would expire on the way, and two instances
 /// would hand it to each other for ever.
-constexpr Common::milliseconds LeastLifetime{200};
-constexpr Common::milliseconds MostLifetime{60 * 60 * 1000};
+constexpr Common::milliseconds MinLifetime{200};
+constexpr Common::milliseconds MaxLifetime{60 * 60 * 1000};
 
 } // namespace
 
@@ -23,7 +23,7 @@
 
 bool NoticeTable::apply(const Notice &notice, Common::Time now)
 {
-    if (notice.lifetime < LeastLifetime) {
+    if (notice.lifetime < MinLifetime) {
         return false;
     }
     const Key key{notice.kind, notice.subject};
@@ -34,8 +34,8 @@
         }
         erase(it);
     }
-    makeRoom();
-    const auto lifetime = std::min(notice.lifetime, MostLifetime);
+    evictIfFull();
+    const auto lifetime = std::min(notice.lifetime, MaxLifetime);
     entries_.emplace(key, Entry{notice, now + lifetime});
     hash_ ^= hashOf(notice);
     return true;
@@ -56,10 +56,11 @@
 {
     std::vector<Notice> notices;
     for (const auto &[key, entry] : entries_) {
-        const auto left = std::chrono::duration_cast<Common::milliseconds>(entry.expires - now);
-        if (left >= LeastLifetime) {
+        const auto remaining =
+            std::chrono::duration_cast<Common::milliseconds>(entry.expires - now);
+        if (remaining >= MinLifetime) {
             notices.push_back(entry.notice);
-            notices.back().lifetime = left;
+            notices.back().lifetime = remaining;
         }
     }
     return notices;
@@ -98,16 +99,16 @@
     entries_.erase(it);
 }
 
-void NoticeTable::makeRoom()
+void NoticeTable::evictIfFull()
 {
     if (entries_.size() < maxNotices_) {
         return;
     }
-    const auto first =
+    const auto earliest =
         std::min_element(entries_.begin(), entries_.end(), [](const auto &a, const auto &b) {
             return a.second.expires < b.second.expires;
         });
-    erase(first);
+    erase(earliest);
 }
 
 } // namespace LaburnumChute::Cluster
--- a/Source/Core/Cluster/NoticeTable.h
+++ b/Source/Core/Cluster/NoticeTable.h
@@ -43,7 +43,7 @@
 
     static std::uint64_t hashOf(const Notice &notice);
     void erase(std::map<Key, Entry>::iterator it);
-    void makeRoom();
+    void evictIfFull();
 
     std::size_t maxNotices_;
     std::map<Key, Entry> entries_;
--- a/Source/Core/Cluster/OrderCoordinator.cpp
+++ b/Source/Core/Cluster/OrderCoordinator.cpp
@@ -31,22 +31,22 @@
 void OrderCoordinator::setOrderer(bool orderer, Common::Time now)
 {
     if (orderer && !orderer_) {
-        keepQuiet(now);
+        startQuietPeriod(now);
     }
     orderer_ = orderer;
 }
 
 void OrderCoordinator::resumed(Common::Time now)
 {
-    keepQuiet(now);
+    startQuietPeriod(now);
 }
 
-void OrderCoordinator::keepQuiet(Common::Time now)
+void OrderCoordinator::startQuietPeriod(Common::Time now)
 {
     quietUntil_ = now + options_.quietPeriod;
     // The former orderer may have used up the store's rate.
     loadTokens_ = 0;
-    tokensAt_ = now;
+    tokensUpdated_ = now;
     for (auto &[id, engine] : engines_) {
         engine.phase = Phase::Idle;
         engine.next = quietUntil_;
@@ -62,7 +62,7 @@
     }
     for (auto &[id, engine] : engines_) {
         if (engine.phase != Phase::Idle && now >= engine.deadline) {
-            becomeUncertain(engine, now);
+            markUncertain(engine, now);
         }
         if (engine.phase == Phase::Idle && now >= engine.next) {
             engine.phase = Phase::Reading;
@@ -127,30 +127,31 @@
 bool OrderCoordinator::mayReload(const Engine &engine, const EngineState &state,
                                  const Common::ModelName &model) const
 {
-    const bool serves =
+    const bool isServing =
         std::any_of(state.models.begin(), state.models.end(),
                     [&](const auto &known) { return known.ready && known.version.model == model; });
-    if (!serves) {
+    if (!isServing) {
         return true;
     }
-    const auto holds = [&](const Engine &other) {
+    const auto isAssigned = [&](const Engine &other) {
         return std::any_of(other.desired.models.begin(), other.desired.models.end(),
                            [&](const auto &version) { return version.model == model; });
     };
-    std::size_t all = 0;
+    std::size_t assigned = 0;
     std::size_t loading = 0;
     for (const auto &[id, other] : engines_) {
-        all += holds(other) ? 1 : 0;
-        loading += &other != &engine && holds(other) && other.loading ? 1 : 0;
+        assigned += isAssigned(other) ? 1 : 0;
+        loading += &other != &engine && isAssigned(other) && other.loading ? 1 : 0;
     }
-    const auto most = static_cast<std::size_t>(static_cast<double>(all) * options_.reloadingShare);
-    return loading < std::max<std::size_t>(most, 1);
+    const auto maxLoading =
+        static_cast<std::size_t>(static_cast<double>(assigned) * options_.maxReloadingFraction);
+    return loading < std::max<std::size_t>(maxLoading, 1);
 }
 
 bool OrderCoordinator::takeLoadToken(Common::Time now)
 {
-    const double minutes = Common::toSeconds(now - tokensAt_) / 60.0;
-    tokensAt_ = now;
+    const double minutes = Common::toSeconds(now - tokensUpdated_) / 60.0;
+    tokensUpdated_ = now;
     loadTokens_ = std::min(options_.loadBurst, loadTokens_ + minutes * loadsPerMinute_);
     if (loadTokens_ < 1) {
         return false;
@@ -163,7 +164,7 @@
 {
     const auto it = engines_.find(endpoint);
     if (it != engines_.end() && it->second.phase == Phase::Reading) {
-        becomeUncertain(it->second, now);
+        markUncertain(it->second, now);
     }
 }
 
@@ -183,7 +184,7 @@
     }
     if (std::holds_alternative<OrderUncertain>(answer)) {
         engine.phase = Phase::Ordering;
-        becomeUncertain(engine, now);
+        markUncertain(engine, now);
         return;
     }
     // Another orderer is further on. To outbid it at once would start a race of numbers.
@@ -191,7 +192,7 @@
     engine.next = now + options_.quietPeriod;
 }
 
-void OrderCoordinator::becomeUncertain(Engine &engine, Common::Time now)
+void OrderCoordinator::markUncertain(Engine &engine, Common::Time now)
 {
     const bool mayArriveLate = engine.phase == Phase::Ordering && !engine.desired.checksFences;
     engine.phase = Phase::Idle;
--- a/Source/Core/Cluster/OrderCoordinator.h
+++ b/Source/Core/Cluster/OrderCoordinator.h
@@ -26,7 +26,7 @@
     /// Share of the engines of a model that may be loading while they served it before. An engine
     /// may drop the old version when it begins to load the new one; a new version given to all at
     /// once would leave nobody to serve the model.
-    double reloadingShare = 0.34;
+    double maxReloadingFraction = 0.34;
     /// Loads that may be given one right after the other, when none were for a while.
     double loadBurst = 2;
 };
@@ -125,11 +125,11 @@
         std::optional<std::uint64_t> ordersExpected;
     };
 
-    void keepQuiet(Common::Time now);
+    void startQuietPeriod(Common::Time now);
     bool takeLoadToken(Common::Time now);
     bool mayReload(const Engine &engine, const EngineState &state,
                    const Common::ModelName &model) const;
-    void becomeUncertain(Engine &engine, Common::Time now);
+    void markUncertain(Engine &engine, Common::Time now);
     OrderEffects decide(Engine &engine, const EngineState &state, Common::Time now,
                         Common::WallTime wallNow);
 
@@ -138,7 +138,7 @@
     std::uint64_t highestFence_ = 0;
     double loadsPerMinute_ = 0;
     double loadTokens_ = 0;
-    Common::Time tokensAt_;
+    Common::Time tokensUpdated_;
     std::map<Common::EndpointId, Engine> engines_;
     Common::Time quietUntil_;
 };
--- a/Source/Core/Cluster/RegionDirectory.cpp
+++ b/Source/Core/Cluster/RegionDirectory.cpp
@@ -10,12 +10,12 @@
 
 /// Incarnations and leaves that are remembered; beyond it the table starts anew. Several times the
 /// fleet of 2,900 instances, with each replaced more than once a day.
-constexpr std::size_t MaxRemembered = 16384;
+constexpr std::size_t MaxTrackedInstances = 16384;
 
 template <typename Map>
-void remember(Map &map, const Common::InstanceId &id, Common::Incarnation incarnation)
+void recordNewest(Map &map, const Common::InstanceId &id, Common::Incarnation incarnation)
 {
-    if (map.size() >= MaxRemembered && !map.contains(id)) {
+    if (map.size() >= MaxTrackedInstances && !map.contains(id)) {
         map.clear();
     }
     auto &newest = map[id];
@@ -58,19 +58,20 @@
     }
     summaries_[summary.region] = summary;
     for (const MemberInfo &contact : summary.contacts) {
-        heard(contact.id, contact.incarnation);
+        recordIncarnation(contact.id, contact.incarnation);
     }
     return true;
 }
 
-void RegionDirectory::instanceLeaves(const Common::InstanceId &id, Common::Incarnation incarnation)
+void RegionDirectory::recordLeaving(const Common::InstanceId &id, Common::Incarnation incarnation)
 {
-    remember(leaving_, id, incarnation);
+    recordNewest(leaving_, id, incarnation);
 }
 
-void RegionDirectory::heard(const Common::InstanceId &id, Common::Incarnation incarnation)
+void RegionDirectory::recordIncarnation(const Common::InstanceId &id,
+                                        Common::Incarnation incarnation)
 {
-    remember(incarnations_, id, incarnation);
+    recordNewest(incarnations_, id, incarnation);
 }
 
 Address RegionDirectory::gossipAddress(const MemberInfo &info) const
--- a/Source/Core/Cluster/RegionDirectory.h
+++ b/Source/Core/Cluster/RegionDirectory.h
@@ -26,9 +26,9 @@
     /// True when the summary is newer than the one held.
     bool apply(const RegionSummary &summary);
     /// A contact that was heard to leave is chosen no more.
-    void instanceLeaves(const Common::InstanceId &id, Common::Incarnation incarnation);
+    void recordLeaving(const Common::InstanceId &id, Common::Incarnation incarnation);
     /// Remembers the incarnation under which an instance was heard.
-    void heard(const Common::InstanceId &id, Common::Incarnation incarnation);
+    void recordIncarnation(const Common::InstanceId &id, Common::Incarnation incarnation);
 
     bool seedsKnown() const
     {
--- a/Source/UnitTests/Cluster/CodecTest.cpp
+++ b/Source/UnitTests/Cluster/CodecTest.cpp
@@ -18,24 +18,24 @@
     MemberInfo info;
     info.id = message.sender;
     info.gossipAddress = Address("127.0.0.1:4000");
-    message.claims.push_back({info.id, message.incarnation, 3, Health::Suspect, true, info});
+    message.updates.push_back({info.id, message.incarnation, 3, Health::Suspect, true, info});
     Notice notice{NoticeKind::EndpointLeaving, "engine-3", "", 9, true, Common::milliseconds(500)};
     message.notices.push_back(notice);
     message.body = ConfigurationChunk{{7, 42}, {6, 41}, 100, 20, std::string(30, 'x')};
     return message;
 }
 
-TEST(CodecTest, MessageSurvivesTheWire)
+TEST(CodecTest, MessageRoundTrips)
 {
     const GossipMessage message = sampleMessage();
     const auto decoded = decode(encode(message));
     ASSERT_TRUE(decoded);
     EXPECT_EQ(decoded->sender, message.sender);
     EXPECT_EQ(decoded->configuration, message.configuration);
-    ASSERT_EQ(decoded->claims.size(), 1u);
-    EXPECT_EQ(decoded->claims[0].health, Health::Suspect);
-    ASSERT_TRUE(decoded->claims[0].info);
-    EXPECT_EQ(decoded->claims[0].info->gossipAddress, Address("127.0.0.1:4000"));
+    ASSERT_EQ(decoded->updates.size(), 1u);
+    EXPECT_EQ(decoded->updates[0].health, Health::Suspect);
+    ASSERT_TRUE(decoded->updates[0].info);
+    EXPECT_EQ(decoded->updates[0].info->gossipAddress, Address("127.0.0.1:4000"));
     ASSERT_EQ(decoded->notices.size(), 1u);
     EXPECT_EQ(decoded->notices[0].lifetime, Common::milliseconds(500));
     EXPECT_EQ(std::get<ConfigurationChunk>(decoded->body).bytes, std::string(30, 'x'));
@@ -44,7 +44,7 @@
 // A link damages a datagram in a way that its own checksum misses, or another program sends to the
 // wrong port. An instance that believed it could count a member as dead or chase a configuration
 // number that does not exist; callers would see refusals without a cause.
-RC_GTEST_PROP(CodecTest, DamagedDatagramIsRefused, ())
+RC_GTEST_PROP(CodecTest, DamagedDatagramIsRejected, ())
 {
     std::string datagram = encode(sampleMessage());
     const auto position = *rc::gen::inRange<std::size_t>(0, datagram.size());
@@ -53,7 +53,7 @@
     RC_ASSERT(!decode(datagram));
 }
 
-RC_GTEST_PROP(CodecTest, ForeignBytesAreRefused, (const std::string &bytes))
+RC_GTEST_PROP(CodecTest, ForeignBytesAreRejected, (const std::string &bytes))
 {
     RC_ASSERT(!decode(bytes));
     RC_ASSERT(!decode("LCG1" + bytes));
--- a/Source/UnitTests/Cluster/MembershipTest.cpp
+++ b/Source/UnitTests/Cluster/MembershipTest.cpp
@@ -11,17 +11,17 @@
 
 namespace {
 
-void startRegion(SimulatedCluster &bus, const std::string &region, std::size_t count)
+void startRegion(SimulatedCluster &cluster, const std::string &region, std::size_t count)
 {
     for (std::size_t i = 0; i < count; ++i) {
-        bus.start(region);
+        cluster.start(region);
     }
 }
 
-std::size_t deathsReported(const SimulatedCluster &bus)
+std::size_t deathsReported(const SimulatedCluster &cluster)
 {
     std::size_t deaths = 0;
-    for (const auto &process : bus.processes) {
+    for (const auto &process : cluster.processes) {
         for (const MemberChanged &change : process.changes) {
             deaths += change.member.state == MemberState::Dead ? 1 : 0;
         }
@@ -29,33 +29,34 @@
     return deaths;
 }
 
-TEST(MembershipTest, MembersFindEachOtherAndAgree)
+TEST(MembershipTest, MembersDiscoverEachOtherAndAgree)
 {
-    SimulatedCluster bus(1);
-    startRegion(bus, "sapporo", 4);
-    startRegion(bus, "hakodate", 4);
-    bus.publishSeeds();
-    bus.run(seconds(15));
-    for (const auto &process : bus.processes) {
+    SimulatedCluster cluster(1);
+    startRegion(cluster, "sapporo", 4);
+    startRegion(cluster, "hakodate", 4);
+    cluster.publishSeeds();
+    cluster.run(seconds(15));
+    for (const auto &process : cluster.processes) {
         EXPECT_EQ(process.node->members().size(), 4u);
         EXPECT_EQ(process.node->regions().size(), 2u);
     }
-    EXPECT_EQ(bus.processes[0].node->orderer("model"), bus.processes[3].node->orderer("model"));
-    EXPECT_LE(bus.largestDatagram, MaxDatagramBytes);
+    EXPECT_EQ(cluster.processes[0].node->orderer("model"),
+              cluster.processes[3].node->orderer("model"));
+    EXPECT_LE(cluster.largestDatagram, MaxDatagramBytes);
 }
 
 TEST(MembershipTest, OtherRegionsLearnTheLoadOfARegion)
 {
-    SimulatedCluster bus(8);
-    startRegion(bus, "sapporo", 3);
-    startRegion(bus, "hakodate", 3);
-    bus.publishSeeds();
+    SimulatedCluster cluster(8);
+    startRegion(cluster, "sapporo", 3);
+    startRegion(cluster, "hakodate", 3);
+    cluster.publishSeeds();
     for (std::size_t i = 0; i < 3; ++i) {
         const auto wait = static_cast<std::uint32_t>(100 * i);
-        bus.processes[i].node->setLocalLoad({{"inscription", 2, 1, 96, 500, wait, 0, 50}});
+        cluster.processes[i].node->setLocalLoad({{"inscription", 2, 1, 96, 500, wait, 0, 50}});
     }
-    bus.run(seconds(15));
-    for (const RegionSummary &region : bus.processes[5].node->regions()) {
+    cluster.run(seconds(15));
+    for (const RegionSummary &region : cluster.processes[5].node->regions()) {
         EXPECT_EQ(region.aliveMembers, 3u);
         EXPECT_EQ(region.contacts.size(), 3u);
         if (region.region != Common::RegionName("sapporo")) {
@@ -70,37 +71,37 @@
 
 // An instance loses its power. The others send it work until they notice; callers whose requests it
 // held wait for nothing.
-TEST(MembershipTest, DeathIsFoundInSeconds)
+TEST(MembershipTest, DeadInstanceIsDetectedWithinThirtySeconds)
 {
-    SimulatedCluster bus(2);
-    bus.loss = 0.05;
-    startRegion(bus, "north", 4);
-    bus.publishSeeds();
-    bus.run(seconds(10));
-    bus.kill(2);
-    const auto found =
-        bus.runUntil([&] { return bus.statesSeen(2, MemberState::Dead) == 3; }, seconds(30));
-    EXPECT_TRUE(found);
+    SimulatedCluster cluster(2);
+    cluster.loss = 0.05;
+    startRegion(cluster, "north", 4);
+    cluster.publishSeeds();
+    cluster.run(seconds(10));
+    cluster.kill(2);
+    const auto detected = cluster.runUntil(
+        [&] { return cluster.statesSeen(2, MemberState::Dead) == 3; }, seconds(30));
+    EXPECT_TRUE(detected);
 }
 
 // The platform stops a process for a while and lets it go on. What it did not hear meanwhile is its
 // own doing; if it blamed the others it would stop using three healthy instances at once.
 RC_GTEST_PROP(MembershipTest, PausedObserverDeclaresNobodyDead, ())
 {
-    SimulatedCluster bus(*rc::gen::arbitrary<std::uint64_t>());
-    bus.loss = 0.02;
-    startRegion(bus, "north", 4);
-    bus.publishSeeds();
-    bus.run(seconds(10));
-    bus.processes[0].changes.clear();
+    SimulatedCluster cluster(*rc::gen::arbitrary<std::uint64_t>());
+    cluster.loss = 0.02;
+    startRegion(cluster, "north", 4);
+    cluster.publishSeeds();
+    cluster.run(seconds(10));
+    cluster.processes[0].changes.clear();
     for (int i = 0; i < 3; ++i) {
-        bus.timerFirst = *rc::gen::arbitrary<bool>();
-        bus.pause(0);
-        bus.run(milliseconds(*rc::gen::inRange(100, 12'000)));
-        bus.resume(0);
-        bus.run(milliseconds(*rc::gen::inRange(100, 5'000)));
+        cluster.timerFirst = *rc::gen::arbitrary<bool>();
+        cluster.pause(0);
+        cluster.run(milliseconds(*rc::gen::inRange(100, 12'000)));
+        cluster.resume(0);
+        cluster.run(milliseconds(*rc::gen::inRange(100, 5'000)));
     }
-    for (const MemberChanged &change : bus.processes[0].changes) {
+    for (const MemberChanged &change : cluster.processes[0].changes) {
         RC_ASSERT(change.member.state != MemberState::Dead);
     }
 }
@@ -108,89 +109,89 @@
 // An observer suspects a member, rightly or not, and is stopped before the answer reaches it. The
 // answer waits unread in its socket when its timers fire; to act on the old suspicion would take a
 // healthy instance out of service.
-TEST(MembershipTest, SuspicionFromBeforeAPauseIsNotCarriedOut)
+TEST(MembershipTest, SuspicionFromBeforeAPauseDoesNotExpireOnResume)
 {
-    SimulatedCluster bus(7);
-    startRegion(bus, "north", 4);
-    bus.publishSeeds();
-    bus.run(seconds(10));
-    bus.cut = [](std::size_t, std::size_t to) { return to == 0; };
+    SimulatedCluster cluster(7);
+    startRegion(cluster, "north", 4);
+    cluster.publishSeeds();
+    cluster.run(seconds(10));
+    cluster.isBlocked = [](std::size_t, std::size_t to) { return to == 0; };
     const auto suspects = [&] {
-        for (const MemberView &member : bus.processes[0].node->members()) {
+        for (const MemberView &member : cluster.processes[0].node->members()) {
             if (member.state == MemberState::Suspect) {
                 return true;
             }
         }
         return false;
     };
-    ASSERT_TRUE(bus.runUntil(suspects, seconds(10)));
-    bus.pause(0);
-    bus.cut = [](std::size_t, std::size_t) { return false; };
-    bus.run(seconds(8));
-    bus.processes[0].changes.clear();
-    bus.resume(0);
-    bus.run(seconds(10));
-    for (const MemberChanged &change : bus.processes[0].changes) {
+    ASSERT_TRUE(cluster.runUntil(suspects, seconds(10)));
+    cluster.pause(0);
+    cluster.isBlocked = [](std::size_t, std::size_t) { return false; };
+    cluster.run(seconds(8));
+    cluster.processes[0].changes.clear();
+    cluster.resume(0);
+    cluster.run(seconds(10));
+    for (const MemberChanged &change : cluster.processes[0].changes) {
         EXPECT_NE(change.member.state, MemberState::Dead);
     }
 }
 
 // A process that was stopped long enough is held to be dead. When it goes on it must come back by
 // itself; without that a pause of ten seconds would cost the instance for the rest of its life.
-TEST(MembershipTest, WokenInstanceRefutesItsDeath)
+TEST(MembershipTest, ResumedInstanceRefutesItsDeath)
 {
-    SimulatedCluster bus(3);
-    startRegion(bus, "north", 4);
-    bus.publishSeeds();
-    bus.run(seconds(10));
-    bus.pause(1);
-    ASSERT_TRUE(
-        bus.runUntil([&] { return bus.statesSeen(1, MemberState::Dead) == 3; }, seconds(30)));
-    bus.resume(1);
-    EXPECT_TRUE(
-        bus.runUntil([&] { return bus.statesSeen(1, MemberState::Alive) == 3; }, seconds(10)));
-    EXPECT_EQ(bus.processes[1].pauses, 1);
+    SimulatedCluster cluster(3);
+    startRegion(cluster, "north", 4);
+    cluster.publishSeeds();
+    cluster.run(seconds(10));
+    cluster.pause(1);
+    ASSERT_TRUE(cluster.runUntil([&] { return cluster.statesSeen(1, MemberState::Dead) == 3; },
+                                 seconds(30)));
+    cluster.resume(1);
+    EXPECT_TRUE(cluster.runUntil([&] { return cluster.statesSeen(1, MemberState::Alive) == 3; },
+                                 seconds(10)));
+    EXPECT_EQ(cluster.processes[1].pauses, 1);
 }
 
 // The platform replaces a stopped instance under the same name, and the old process wakes up later.
 // The old one must learn that it is no longer the instance; otherwise both would run the same
 // medal order.
-TEST(MembershipTest, ReplacementSupersedesAtOnceAndTheOldProcessLearnsOfIt)
+TEST(MembershipTest, ReplacementSupersedesTheOldProcessAndItIsNotified)
 {
-    SimulatedCluster bus(4);
-    startRegion(bus, "north", 4);
-    bus.publishSeeds();
-    bus.run(seconds(10));
-    bus.pause(1);
-    bus.run(seconds(2));
-    auto old = std::move(bus.processes[1]);
-    bus.start("north", 1);
-    bus.publishSeeds();
-    const auto incarnation = bus.processes[1].info.incarnation;
+    SimulatedCluster cluster(4);
+    startRegion(cluster, "north", 4);
+    cluster.publishSeeds();
+    cluster.run(seconds(10));
+    cluster.pause(1);
+    cluster.run(seconds(2));
+    auto old = std::move(cluster.processes[1]);
+    cluster.start("north", 1);
+    cluster.publishSeeds();
+    const auto incarnation = cluster.processes[1].info.incarnation;
     ASSERT_GT(incarnation, old.info.incarnation);
-    EXPECT_TRUE(bus.runUntil(
+    EXPECT_TRUE(cluster.runUntil(
         [&] {
-            return bus.processes[0].node->newestIncarnation(old.info.id) == incarnation
-                   && bus.statesSeen(1, MemberState::Alive) == 3;
+            return cluster.processes[0].node->newestIncarnation(old.info.id) == incarnation
+                   && cluster.statesSeen(1, MemberState::Alive) == 3;
         },
         seconds(5)));
 
-    const Effects woken = old.node->tick(bus.now(), Common::WallTime(seconds(1)));
+    const Effects effectsAfterResume = old.node->tick(cluster.now(), Common::WallTime(seconds(1)));
     std::optional<Common::Incarnation> supersededBy;
-    for (const Effect &effect : woken) {
+    for (const Effect &effect : effectsAfterResume) {
         const auto *send = std::get_if<SendGossip>(&effect);
         if (send == nullptr || !std::holds_alternative<Ping>(send->message.body)) {
             continue;
         }
-        const Effects answers =
-            bus.processes[0].node->receive(old.info.gossipAddress, send->message, bus.now());
+        const Effects answers = cluster.processes[0].node->receive(old.info.gossipAddress,
+                                                                   send->message, cluster.now());
         for (const Effect &answer : answers) {
             const auto *reply = std::get_if<SendGossip>(&answer);
             if (reply == nullptr || reply->to != old.info.gossipAddress) {
                 continue;
             }
-            const auto from = bus.processes[0].info.gossipAddress;
-            for (const Effect &heard : old.node->receive(from, reply->message, bus.now())) {
+            const auto from = cluster.processes[0].info.gossipAddress;
+            for (const Effect &heard : old.node->receive(from, reply->message, cluster.now())) {
                 const auto *superseded = std::get_if<SelfSuperseded>(&heard);
                 supersededBy = superseded ? superseded->by : supersededBy;
             }
@@ -201,33 +202,33 @@
 
 // A switch forwards what one instance sends but nothing that is sent to it from another. Helpers
 // reach the member, so that it is not given up for one bad path.
-TEST(MembershipTest, OneWayCutBetweenTwoMembersKillsNobody)
+TEST(MembershipTest, OneWayPartitionBetweenTwoMembersCausesNoFalseDeath)
 {
-    SimulatedCluster bus(5);
-    startRegion(bus, "central", 5);
-    bus.publishSeeds();
-    bus.run(seconds(10));
-    bus.cut = [](std::size_t from, std::size_t to) { return from == 0 && to == 1; };
-    bus.run(seconds(60));
-    EXPECT_EQ(deathsReported(bus), 0u);
+    SimulatedCluster cluster(5);
+    startRegion(cluster, "central", 5);
+    cluster.publishSeeds();
+    cluster.run(seconds(10));
+    cluster.isBlocked = [](std::size_t from, std::size_t to) { return from == 0 && to == 1; };
+    cluster.run(seconds(60));
+    EXPECT_EQ(deathsReported(cluster), 0u);
 }
 
 // Half of a region is cut off from the other half for a while, as when a failure domain loses its
 // uplink. Each half gives up the other; when the link is back they must find each other again.
 TEST(MembershipTest, HealedPartitionJoinsAgain)
 {
-    SimulatedCluster bus(6);
-    startRegion(bus, "central", 6);
-    bus.publishSeeds();
-    bus.run(seconds(10));
-    bus.cut = [](std::size_t from, std::size_t to) { return (from < 3) != (to < 3); };
-    bus.run(seconds(60));
-    EXPECT_EQ(bus.statesSeen(0, MemberState::Dead), 3u);
-    bus.cut = [](std::size_t, std::size_t) { return false; };
-    EXPECT_TRUE(bus.runUntil(
+    SimulatedCluster cluster(6);
+    startRegion(cluster, "central", 6);
+    cluster.publishSeeds();
+    cluster.run(seconds(10));
+    cluster.isBlocked = [](std::size_t from, std::size_t to) { return (from < 3) != (to < 3); };
+    cluster.run(seconds(60));
+    EXPECT_EQ(cluster.statesSeen(0, MemberState::Dead), 3u);
+    cluster.isBlocked = [](std::size_t, std::size_t) { return false; };
+    EXPECT_TRUE(cluster.runUntil(
         [&] {
             for (std::size_t i = 0; i < 6; ++i) {
-                if (bus.statesSeen(i, MemberState::Alive) != 5) {
+                if (cluster.statesSeen(i, MemberState::Alive) != 5) {
                     return false;
                 }
             }
@@ -241,17 +242,17 @@
 TEST(MembershipTest, LeaveReachesAllWithinTwoSecondsInSpiteOfLoss)
 {
     for (std::uint64_t seed = 0; seed < 10; ++seed) {
-        SimulatedCluster bus(100 + seed);
-        bus.loss = 0.05;
-        startRegion(bus, "sapporo", 30);
-        startRegion(bus, "hakodate", 4);
-        bus.publishSeeds();
-        bus.run(seconds(15));
-        bus.applyEffects(7, bus.processes[7].node->announceLeaving(bus.now()));
-        bus.run(seconds(2));
-        EXPECT_EQ(bus.statesSeen(7, MemberState::Leaving), 29u);
+        SimulatedCluster cluster(100 + seed);
+        cluster.loss = 0.05;
+        startRegion(cluster, "sapporo", 30);
+        startRegion(cluster, "hakodate", 4);
+        cluster.publishSeeds();
+        cluster.run(seconds(15));
+        cluster.applyEffects(7, cluster.processes[7].node->announceLeaving(cluster.now()));
+        cluster.run(seconds(2));
+        EXPECT_EQ(cluster.statesSeen(7, MemberState::Leaving), 29u);
         for (std::size_t i = 30; i < 34; ++i) {
-            EXPECT_EQ(bus.processes[i].notices.size(), 1u);
+            EXPECT_EQ(cluster.processes[i].notices.size(), 1u);
         }
     }
 }
@@ -278,20 +279,20 @@
     message.sender = observer.id;
     message.region = observer.region;
     message.incarnation = observer.incarnation;
-    message.claims = {{observer.id, 7, 0, Health::Alive, false, observer},
-                      {suspected.id, 7, 1, Health::Alive, false, suspected}};
+    message.updates = {{observer.id, 7, 0, Health::Alive, false, observer},
+                       {suspected.id, 7, 1, Health::Alive, false, suspected}};
     node.receive(observer.gossipAddress, message, now);
-    message.claims = {{suspected.id, 7, 0, Health::Suspect, false, {}}};
+    message.updates = {{suspected.id, 7, 0, Health::Suspect, false, {}}};
     bool corrected = false;
     for (const Effect &effect : node.receive(observer.gossipAddress, message, now)) {
         const auto *send = std::get_if<SendGossip>(&effect);
         if (send == nullptr || send->to != observer.gossipAddress) {
             continue;
         }
-        for (const MemberClaim &claim : send->message.claims) {
+        for (const MemberUpdate &update : send->message.updates) {
             corrected = corrected
-                        || (claim.id == suspected.id && claim.counter == 1
-                            && claim.health == Health::Alive && !claim.info);
+                        || (update.id == suspected.id && update.counter == 1
+                            && update.health == Health::Alive && !update.info);
         }
     }
     EXPECT_TRUE(corrected);
@@ -300,7 +301,7 @@
 
 // The platform's list calls an instance leaving after it has been replaced, since the list lags.
 // The replacement must get work all the same.
-TEST(MembershipTest, ListedLeaveDoesNotHoldForTheReplacement)
+TEST(MembershipTest, LeavingFlagOfTheListDoesNotApplyToTheReplacement)
 {
     MemberInfo self;
     self.id = Common::InstanceId("a");
@@ -310,20 +311,20 @@
     other.incarnation = 5;
     Common::Time now{seconds(1)};
     ClusterNode node({}, self, 1, now);
-    const auto tell = [&](Common::Incarnation incarnation) {
+    const auto announce = [&](Common::Incarnation incarnation) {
         GossipMessage message;
         message.sender = other.id;
         message.region = other.region;
         message.incarnation = other.incarnation = incarnation;
-        message.claims.push_back({other.id, incarnation, 0, Health::Alive, false, other});
+        message.updates.push_back({other.id, incarnation, 0, Health::Alive, false, other});
         node.receive(Address("1.1.1.1:1"), message, now);
     };
-    tell(5);
+    announce(5);
     const Seed leaving{other.id, other.region, {}, {}, Address("9.9.9.9:9"), {}, true};
     node.updateSeeds({leaving}, now);
     EXPECT_EQ(node.member(other.id)->state, MemberState::Leaving);
     EXPECT_EQ(node.member(other.id)->info.gossipAddress, Address("9.9.9.9:9"));
-    tell(6);
+    announce(6);
     node.updateSeeds({leaving}, now);
     EXPECT_EQ(node.member(other.id)->state, MemberState::Alive);
 }
--- a/Source/UnitTests/Cluster/NoticeTest.cpp
+++ b/Source/UnitTests/Cluster/NoticeTest.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-Notice poison(const std::string &fingerprint, std::uint64_t version = 1)
+Notice poisonNotice(const std::string &fingerprint, std::uint64_t version = 1)
 {
     return {NoticeKind::SuspectedPoison, fingerprint, "", version, true, seconds(60)};
 }
@@ -22,55 +22,56 @@
 TEST(NoticeTest, ReachesAllInstancesOfAllRegionsBeforeAResend)
 {
     for (std::uint64_t seed = 0; seed < 5; ++seed) {
-        SimulatedCluster bus(seed);
-        bus.loss = 0.05;
+        SimulatedCluster cluster(seed);
+        cluster.loss = 0.05;
         for (int i = 0; i < 60; ++i) {
-            bus.start("sapporo");
+            cluster.start("sapporo");
         }
         for (int i = 0; i < 60; ++i) {
-            bus.start("hakodate");
+            cluster.start("hakodate");
         }
-        bus.publishSeeds();
-        bus.run(seconds(20));
-        bus.applyEffects(3, bus.processes[3].node->publishNotice(poison("abc"), bus.now()));
-        bus.run(seconds(1));
-        std::size_t knowing = 0;
-        for (const auto &process : bus.processes) {
-            knowing += process.node->notices().size();
+        cluster.publishSeeds();
+        cluster.run(seconds(20));
+        cluster.applyEffects(
+            3, cluster.processes[3].node->publishNotice(poisonNotice("abc"), cluster.now()));
+        cluster.run(seconds(1));
+        std::size_t instancesWithNotice = 0;
+        for (const auto &process : cluster.processes) {
+            instancesWithNotice += process.node->notices().size();
         }
-        EXPECT_GE(knowing, 118u) << "of 120 after one second";
-        bus.run(seconds(1));
-        knowing = 0;
-        for (const auto &process : bus.processes) {
-            knowing += process.node->notices().size();
+        EXPECT_GE(instancesWithNotice, 118u) << "of 120 after one second";
+        cluster.run(seconds(1));
+        instancesWithNotice = 0;
+        for (const auto &process : cluster.processes) {
+            instancesWithNotice += process.node->notices().size();
         }
-        EXPECT_EQ(knowing, 120u);
-        EXPECT_LE(bus.largestDatagram, MaxDatagramBytes);
+        EXPECT_EQ(instancesWithNotice, 120u);
+        EXPECT_LE(cluster.largestDatagram, MaxDatagramBytes);
     }
 }
 
-TEST(NoticeTest, NewerVersionReplacesAndExpiryForgets)
+TEST(NoticeTest, NewerVersionReplacesAndExpiryRemoves)
 {
-    NoticeTable board(4);
+    NoticeTable table(4);
     const Common::Time now{seconds(1)};
-    EXPECT_TRUE(board.apply(poison("a", 2), now));
-    EXPECT_FALSE(board.apply(poison("a", 1), now));
-    EXPECT_FALSE(board.apply(poison("a", 2), now));
-    EXPECT_TRUE(board.apply(poison("a", 3), now));
-    board.expire(now + seconds(61));
-    EXPECT_TRUE(board.all(now + seconds(61)).empty());
-    EXPECT_EQ(board.hash(), NoticeTable(4).hash());
+    EXPECT_TRUE(table.apply(poisonNotice("a", 2), now));
+    EXPECT_FALSE(table.apply(poisonNotice("a", 1), now));
+    EXPECT_FALSE(table.apply(poisonNotice("a", 2), now));
+    EXPECT_TRUE(table.apply(poisonNotice("a", 3), now));
+    table.expire(now + seconds(61));
+    EXPECT_TRUE(table.all(now + seconds(61)).empty());
+    EXPECT_EQ(table.hash(), NoticeTable(4).hash());
 }
 
 // A caller sends thousands of different requests that crash endpoints. The table stays small.
 TEST(NoticeTest, TableIsBounded)
 {
-    NoticeTable board(4);
+    NoticeTable table(4);
     const Common::Time now{seconds(1)};
     for (int i = 0; i < 100; ++i) {
-        board.apply(poison(std::to_string(i)), now + milliseconds(i));
+        table.apply(poisonNotice(std::to_string(i)), now + milliseconds(i));
     }
-    EXPECT_EQ(board.all(now).size(), 4u);
+    EXPECT_EQ(table.all(now).size(), 4u);
 }
 
 } // namespace
--- a/Source/UnitTests/Cluster/OrdersTest.cpp
+++ b/Source/UnitTests/Cluster/OrdersTest.cpp
@@ -24,9 +24,9 @@
     Common::Time loadEnds;
     int loads = 0;
     /// An unload left it without any model that is ready.
-    bool servedNothing = false;
+    bool hadNoReadyModel = false;
 
-    OrderAnswer give(const EngineOrder &order, std::uint64_t fence, Common::Time now)
+    OrderAnswer execute(const EngineOrder &order, std::uint64_t fence, Common::Time now)
     {
         ++state.ordersSeen;
         if (checksFences && fence <= state.highestFence) {
@@ -41,14 +41,14 @@
         } else if (order.action == OrderAction::UnloadModel) {
             std::erase_if(state.models,
                           [&](const auto &model) { return model.version == version; });
-            servedNothing = std::none_of(state.models.begin(), state.models.end(),
-                                         [](const auto &model) { return model.ready; });
+            hadNoReadyModel = std::none_of(state.models.begin(), state.models.end(),
+                                           [](const auto &model) { return model.ready; });
         } else if (order.action == OrderAction::SetRole) {
             state.role = order.role;
         }
         return OrderAccepted{};
     }
-    EngineState read(Common::Time now)
+    EngineState readState(Common::Time now)
     {
         for (auto &model : state.models) {
             model.ready = model.ready || now >= loadEnds;
@@ -57,38 +57,38 @@
     }
 };
 
-DesiredEngine desire(const std::string &version, bool checksFences,
-                     const Common::EndpointId &endpoint = Runner)
+DesiredEngine makeDesiredEngine(const std::string &version, bool checksFences,
+                                const Common::EndpointId &endpoint = Runner)
 {
     return {endpoint, checksFences, "", {{Inscription, version}}, {}};
 }
 
 /// Instances that give orders to engines, in steps of 100 ms.
-struct Bench
+struct OrderSimulation
 {
     Common::Time now{seconds(1000)};
     std::map<Common::EndpointId, FakeEngine> engines;
-    std::vector<std::pair<std::uint64_t, EngineOrder>> given;
-    int foreign = 0;
+    std::vector<std::pair<std::uint64_t, EngineOrder>> sentOrders;
+    int foreignOrders = 0;
 
     void step(OrderCoordinator &coordinator, Common::WallTime wall)
     {
         for (const OrderEffect &effect : coordinator.tick(now)) {
-            read(coordinator, std::get<ReadEngineState>(effect).endpoint, wall);
+            readState(coordinator, std::get<ReadEngineState>(effect).endpoint, wall);
         }
     }
-    void read(OrderCoordinator &coordinator, const Common::EndpointId &endpoint,
-              Common::WallTime wall)
+    void readState(OrderCoordinator &coordinator, const Common::EndpointId &endpoint,
+                   Common::WallTime wall)
     {
         FakeEngine &engine = engines[endpoint];
         for (const OrderEffect &effect :
-             coordinator.stateRead(endpoint, engine.read(now), now, wall)) {
+             coordinator.stateRead(endpoint, engine.readState(now), now, wall)) {
             if (const auto *order = std::get_if<SendOrder>(&effect)) {
-                given.emplace_back(order->fence, order->order);
-                const auto answer = engine.give(order->order, order->fence, now);
+                sentOrders.emplace_back(order->fence, order->order);
+                const auto answer = engine.execute(order->order, order->fence, now);
                 coordinator.orderAnswered(endpoint, answer, now);
             } else {
-                ++foreign;
+                ++foreignOrders;
             }
         }
     }
@@ -105,43 +105,43 @@
 
 constexpr Common::WallTime Wall{seconds(1'790'000'000)};
 
-OrderCoordinator orderer(const std::string &version, bool checksFences, Common::Time now)
+OrderCoordinator makeOrderer(const std::string &version, bool checksFences, Common::Time now)
 {
     OrderCoordinator coordinator{OrderOptions{}};
     coordinator.setLoadsPerMinute(60);
-    coordinator.setDesired({desire(version, checksFences)});
+    coordinator.setDesired({makeDesiredEngine(version, checksFences)});
     coordinator.setOrderer(true, now);
     return coordinator;
 }
 
-TEST(OrdersTest, EngineComesToTheDesiredState)
+TEST(OrdersTest, EngineReachesTheDesiredState)
 {
     for (const bool checks : {false, true}) {
-        Bench bench;
-        bench.engines[Runner].checksFences = checks;
-        bench.engines[Runner].state.models = {{{Inscription, "1"}, true}};
-        auto coordinator = orderer("2", checks, bench.now);
-        bench.run({&coordinator}, seconds(60), Wall);
-        ASSERT_EQ(bench.given.size(), 2u);
-        EXPECT_EQ(bench.given[0].second.action, OrderAction::LoadModel);
-        EXPECT_EQ(bench.given[1].second.action, OrderAction::UnloadModel);
+        OrderSimulation simulation;
+        simulation.engines[Runner].checksFences = checks;
+        simulation.engines[Runner].state.models = {{{Inscription, "1"}, true}};
+        auto coordinator = makeOrderer("2", checks, simulation.now);
+        simulation.run({&coordinator}, seconds(60), Wall);
+        ASSERT_EQ(simulation.sentOrders.size(), 2u);
+        EXPECT_EQ(simulation.sentOrders[0].second.action, OrderAction::LoadModel);
+        EXPECT_EQ(simulation.sentOrders[1].second.action, OrderAction::UnloadModel);
         EXPECT_EQ(coordinator.deviating(), 0u);
-        EXPECT_FALSE(bench.engines[Runner].servedNothing);
+        EXPECT_FALSE(simulation.engines[Runner].hadNoReadyModel);
     }
 }
 
 // Two instances believe to be the orderer, because one has not yet heard that the other lives. With
 // orders given blindly an engine would load a model twice, and its callers would wait twice as
 // long.
-TEST(OrdersTest, TwoOrderersOfOneMindLoadOnce)
+TEST(OrdersTest, TwoOrderersWithTheSameVersionLoadOnce)
 {
     for (const bool checks : {false, true}) {
-        Bench bench;
-        bench.engines[Runner].checksFences = checks;
-        auto first = orderer("1", checks, bench.now);
-        auto second = orderer("1", checks, bench.now);
-        bench.run({&first, &second}, seconds(120), Wall);
-        EXPECT_EQ(bench.engines[Runner].loads, 1);
+        OrderSimulation simulation;
+        simulation.engines[Runner].checksFences = checks;
+        auto first = makeOrderer("1", checks, simulation.now);
+        auto second = makeOrderer("1", checks, simulation.now);
+        simulation.run({&first, &second}, seconds(120), Wall);
+        EXPECT_EQ(simulation.engines[Runner].loads, 1);
     }
 }
 
@@ -149,110 +149,111 @@
 // numbers each undoes the other's work; a load every few seconds would eat the weight store's rate.
 TEST(OrdersTest, OrderersWithDifferentVersionsDoNotFlap)
 {
-    Bench bench;
-    auto older = orderer("1", false, bench.now);
-    auto newer = orderer("2", false, bench.now);
-    bench.run({&older, &newer}, seconds(300), Wall);
-    EXPECT_GT(bench.foreign, 0);
-    EXPECT_LE(bench.given.size(), 2u * 300u / 8u) << "one order in each quiet period of each";
+    OrderSimulation simulation;
+    auto older = makeOrderer("1", false, simulation.now);
+    auto newer = makeOrderer("2", false, simulation.now);
+    simulation.run({&older, &newer}, seconds(300), Wall);
+    EXPECT_GT(simulation.foreignOrders, 0);
+    EXPECT_LE(simulation.sentOrders.size(), 2u * 300u / 8u)
+        << "one order in each quiet period of each";
 }
 
 // The orderer is replaced by an instance whose clock runs an hour behind, and nothing was stored.
 // An engine that checks fencing numbers would refuse everything for an hour.
 TEST(OrdersTest, FencingNumbersGrowOverReplacementsWithAClockBehind)
 {
-    Bench bench;
-    bench.engines[Runner].checksFences = true;
+    OrderSimulation simulation;
+    simulation.engines[Runner].checksFences = true;
     {
-        auto first = orderer("1", true, bench.now);
-        bench.run({&first}, seconds(30), Wall);
+        auto first = makeOrderer("1", true, simulation.now);
+        simulation.run({&first}, seconds(30), Wall);
     }
-    auto second = orderer("2", true, bench.now);
-    bench.run({&second}, seconds(60), Wall - std::chrono::hours(1));
+    auto second = makeOrderer("2", true, simulation.now);
+    simulation.run({&second}, seconds(60), Wall - std::chrono::hours(1));
     EXPECT_EQ(second.deviating(), 0u);
-    ASSERT_EQ(bench.given.size(), 3u);
-    EXPECT_TRUE(std::is_sorted(bench.given.begin(), bench.given.end(),
+    ASSERT_EQ(simulation.sentOrders.size(), 3u);
+    EXPECT_TRUE(std::is_sorted(simulation.sentOrders.begin(), simulation.sentOrders.end(),
                                [](const auto &a, const auto &b) { return a.first < b.first; }));
-    EXPECT_GT(bench.given[1].first, bench.given[0].first);
+    EXPECT_GT(simulation.sentOrders[1].first, simulation.sentOrders[0].first);
 }
 
 // The orderer is stopped, another one takes over, and the first wakes up with an order in mind.
-TEST(OrdersTest, WokenOrdererKeepsQuietAndReadsFirst)
+TEST(OrdersTest, ResumedOrdererWaitsQuietPeriodAndReadsFirst)
 {
-    Bench bench;
-    auto coordinator = orderer("2", false, bench.now);
-    bench.now += seconds(9);
-    const auto effects = coordinator.tick(bench.now);
+    OrderSimulation simulation;
+    auto coordinator = makeOrderer("2", false, simulation.now);
+    simulation.now += seconds(9);
+    const auto effects = coordinator.tick(simulation.now);
     ASSERT_EQ(effects.size(), 1u);
-    bench.now += seconds(60);
-    coordinator.resumed(bench.now);
-    EXPECT_TRUE(coordinator.stateRead(Runner, {}, bench.now, Wall).empty());
-    bench.run({&coordinator}, seconds(7), Wall);
-    EXPECT_TRUE(bench.given.empty());
-    bench.run({&coordinator}, seconds(10), Wall);
-    EXPECT_EQ(bench.given.size(), 1u);
+    simulation.now += seconds(60);
+    coordinator.resumed(simulation.now);
+    EXPECT_TRUE(coordinator.stateRead(Runner, {}, simulation.now, Wall).empty());
+    simulation.run({&coordinator}, seconds(7), Wall);
+    EXPECT_TRUE(simulation.sentOrders.empty());
+    simulation.run({&coordinator}, seconds(10), Wall);
+    EXPECT_EQ(simulation.sentOrders.size(), 1u);
 }
 
 // The answer to an order is lost, and the order itself may be stuck on the way. If the engine does
 // not check fencing numbers and the next order overtakes it, the late one undoes the newer one's
 // work.
-TEST(OrdersTest, UncertainOrderToAnEngineWithoutFencingIsWaitedOut)
+TEST(OrdersTest, UncertainOrderToAnEngineWithoutFencingDelaysTheNext)
 {
     for (const bool checks : {false, true}) {
-        Bench bench;
-        auto coordinator = orderer("2", checks, bench.now);
-        bench.now += seconds(9);
-        ASSERT_EQ(coordinator.tick(bench.now).size(), 1u);
-        ASSERT_EQ(coordinator.stateRead(Runner, {}, bench.now, Wall).size(), 1u);
-        coordinator.orderAnswered(Runner, OrderUncertain{}, bench.now);
-        bench.run({&coordinator}, seconds(7), Wall);
-        EXPECT_EQ(bench.given.size(), checks ? 1u : 0u);
-        bench.run({&coordinator}, seconds(10), Wall);
-        EXPECT_EQ(bench.given.size(), 1u);
+        OrderSimulation simulation;
+        auto coordinator = makeOrderer("2", checks, simulation.now);
+        simulation.now += seconds(9);
+        ASSERT_EQ(coordinator.tick(simulation.now).size(), 1u);
+        ASSERT_EQ(coordinator.stateRead(Runner, {}, simulation.now, Wall).size(), 1u);
+        coordinator.orderAnswered(Runner, OrderUncertain{}, simulation.now);
+        simulation.run({&coordinator}, seconds(7), Wall);
+        EXPECT_EQ(simulation.sentOrders.size(), checks ? 1u : 0u);
+        simulation.run({&coordinator}, seconds(10), Wall);
+        EXPECT_EQ(simulation.sentOrders.size(), 1u);
     }
 }
 
 // A new version places a model on forty runners at once. The weight store turns away what exceeds
 // its rate, and the runners whose load was turned away serve nothing.
-TEST(OrdersTest, LoadsKeepToTheRateOfTheStore)
+TEST(OrdersTest, LoadsStayWithinTheRateOfTheWeightStore)
 {
-    Bench bench;
+    OrderSimulation simulation;
     OrderCoordinator coordinator{OrderOptions{}};
     coordinator.setLoadsPerMinute(6);
     std::vector<DesiredEngine> desired;
     for (int i = 0; i < 40; ++i) {
         const Common::EndpointId id("runner-" + std::to_string(i));
-        bench.engines[id].checksFences = true;
-        desired.push_back(desire("1", true, id));
+        simulation.engines[id].checksFences = true;
+        desired.push_back(makeDesiredEngine("1", true, id));
     }
     coordinator.setDesired(desired);
-    coordinator.setOrderer(true, bench.now);
-    bench.run({&coordinator}, seconds(60), Wall);
-    EXPECT_LE(bench.given.size(), 6u);
-    EXPECT_GE(bench.given.size(), 4u);
-    bench.run({&coordinator}, seconds(420), Wall);
+    coordinator.setOrderer(true, simulation.now);
+    simulation.run({&coordinator}, seconds(60), Wall);
+    EXPECT_LE(simulation.sentOrders.size(), 6u);
+    EXPECT_GE(simulation.sentOrders.size(), 4u);
+    simulation.run({&coordinator}, seconds(420), Wall);
     EXPECT_EQ(coordinator.deviating(), 0u);
 }
 
 // An operator publishes a new version of a model that nine engines serve, and each drops the old
 // one when it begins to load. Given to all at once, nobody serves the model for the time of a load.
-TEST(OrdersTest, NewVersionIsRolledOutInParts)
+TEST(OrdersTest, NewVersionIsRolledOutInStages)
 {
-    Bench bench;
+    OrderSimulation simulation;
     OrderCoordinator coordinator{OrderOptions{}};
     coordinator.setLoadsPerMinute(6000);
     std::vector<DesiredEngine> desired;
     for (int i = 0; i < 9; ++i) {
         const Common::EndpointId id("runner-" + std::to_string(i));
-        bench.engines[id].state.models = {{{Inscription, "1"}, true}};
-        desired.push_back(desire("2", false, id));
+        simulation.engines[id].state.models = {{{Inscription, "1"}, true}};
+        desired.push_back(makeDesiredEngine("2", false, id));
     }
     coordinator.setDesired(desired);
-    coordinator.setOrderer(true, bench.now);
+    coordinator.setOrderer(true, simulation.now);
     for (int step = 0; step < 600; ++step) {
-        bench.run({&coordinator}, milliseconds(100), Wall);
+        simulation.run({&coordinator}, milliseconds(100), Wall);
         int loading = 0;
-        for (const auto &[id, engine] : bench.engines) {
+        for (const auto &[id, engine] : simulation.engines) {
             loading += std::any_of(engine.state.models.begin(), engine.state.models.end(),
                                    [](const auto &model) { return !model.ready; });
         }
@@ -262,23 +263,23 @@
 }
 
 /// A text that looks like the name of a version; few different ones, so that they often agree.
-std::string anyVersion()
+std::string arbitraryVersion()
 {
     return std::to_string(*rc::gen::inRange(0, 4));
 }
 
 RC_GTEST_PROP(OrdersTest, StepsEndInTheDesiredStateAndThenNoneIsLeft, ())
 {
-    DesiredEngine desired = desire(anyVersion(), false);
+    DesiredEngine desired = makeDesiredEngine(arbitraryVersion(), false);
     if (*rc::gen::arbitrary<bool>()) {
-        desired.models.push_back({Common::ModelName("other"), anyVersion()});
+        desired.models.push_back({Common::ModelName("other"), arbitraryVersion()});
     }
     FakeEngine engine;
-    engine.state.models = {{{Inscription, anyVersion()}, true}};
+    engine.state.models = {{{Inscription, arbitraryVersion()}, true}};
     Common::Time now{seconds(1)};
     int steps = 0;
-    while (const auto order = nextOrder(desired, engine.read(now))) {
-        engine.give(*order, 1, now);
+    while (const auto order = nextOrder(desired, engine.readState(now))) {
+        engine.execute(*order, 1, now);
         now += seconds(5);
         RC_ASSERT(++steps < 10);
     }
--- a/Source/UnitTests/Cluster/SimulatedCluster.h
+++ b/Source/UnitTests/Cluster/SimulatedCluster.h
@@ -24,7 +24,7 @@
     Common::Time readEnds;
     Common::ConfigurationNumber readAfter = 0;
     /// Datagrams that wait in the socket of a paused process: sender and message.
-    std::vector<std::pair<std::size_t, std::shared_ptr<const GossipMessage>>> socket;
+    std::vector<std::pair<std::size_t, std::shared_ptr<const GossipMessage>>> unreadDatagrams;
     std::vector<Common::ConfigurationNumber> adopted;
     std::vector<Common::ConfigurationNumber> rejected;
     std::vector<Common::ConfigurationNumber> conflicts;
@@ -48,7 +48,7 @@
     Common::milliseconds latencyInRegion{1};
     Common::milliseconds latencyBetweenRegions{55};
     /// True for datagrams that never arrive; indices of sender and receiver.
-    std::function<bool(std::size_t, std::size_t)> cut = [](std::size_t, std::size_t) {
+    std::function<bool(std::size_t, std::size_t)> isBlocked = [](std::size_t, std::size_t) {
         return false;
     };
     /// Lines of the platform's list for each other region; fewer spare the memory of a large run.
@@ -105,16 +105,16 @@
         std::size_t from = 0;
         /// None: a tick.
         std::shared_ptr<const GossipMessage> message;
-        const ClusterNode *life = nullptr;
+        const ClusterNode *tickedNode = nullptr;
         bool operator<(const Event &other) const
         {
             return std::tie(time, order) > std::tie(other.time, other.order);
         }
     };
 
-    void dispatch(const Event &event);
-    void answerReads(std::size_t index);
-    void act(std::size_t index, const Effect &effect);
+    void handleEvent(const Event &event);
+    void completeReads(std::size_t index);
+    void applyEffect(std::size_t index, const Effect &effect);
     void transmit(std::size_t from, const SendGossip &send);
 
     ClusterOptions options_;
@@ -159,7 +159,7 @@
     if (timerFirst) {
         applyEffects(index, process.node->tick(now_, wallStart_ + now_.time_since_epoch()));
     }
-    const auto waiting = std::exchange(process.socket, {});
+    const auto waiting = std::exchange(process.unreadDatagrams, {});
     for (const auto &[from, message] : waiting) {
         applyEffects(index,
                      process.node->receive(processes[from].info.gossipAddress, *message, now_));
@@ -178,7 +178,7 @@
         }
     }
     std::map<Common::RegionName, std::vector<Seed>> lists;
-    for (const auto &[viewer, own] : byRegion) {
+    for (const auto &[viewer, ownSeeds] : byRegion) {
         for (const auto &[region, listed] : byRegion) {
             const auto count =
                 region == viewer ? listed.size() : std::min(listed.size(), listedOfOtherRegions);
@@ -208,7 +208,7 @@
         const Event event = events_.top();
         events_.pop();
         now_ = event.time;
-        dispatch(event);
+        handleEvent(event);
         if (now_ >= nextCheck) {
             nextCheck = now_ + Common::milliseconds(10);
             if (condition()) {
@@ -220,18 +220,18 @@
     return std::nullopt;
 }
 
-inline void SimulatedCluster::dispatch(const Event &event)
+inline void SimulatedCluster::handleEvent(const Event &event)
 {
     Process &process = processes[event.to];
     if (!event.message) {
-        if (process.node.get() != event.life) {
+        if (process.node.get() != event.tickedNode) {
             return;
         }
-        events_.push(
-            {now_ + options_.tickInterval, ++order_, event.to, event.to, nullptr, event.life});
+        events_.push({now_ + options_.tickInterval, ++order_, event.to, event.to, nullptr,
+                      event.tickedNode});
         if (!process.paused) {
             applyEffects(event.to, process.node->tick(now_, wallStart_ + now_.time_since_epoch()));
-            answerReads(event.to);
+            completeReads(event.to);
         }
         return;
     }
@@ -239,14 +239,14 @@
         return;
     }
     if (process.paused) {
-        process.socket.emplace_back(event.from, event.message);
+        process.unreadDatagrams.emplace_back(event.from, event.message);
         return;
     }
     const Address from = processes[event.from].info.gossipAddress;
     applyEffects(event.to, process.node->receive(from, *event.message, now_));
 }
 
-inline void SimulatedCluster::answerReads(std::size_t index)
+inline void SimulatedCluster::completeReads(std::size_t index)
 {
     Process &process = processes[index];
     if (!process.reading) {
@@ -269,11 +269,11 @@
 inline void SimulatedCluster::applyEffects(std::size_t index, const Effects &effects)
 {
     for (const Effect &effect : effects) {
-        act(index, effect);
+        applyEffect(index, effect);
     }
 }
 
-inline void SimulatedCluster::act(std::size_t index, const Effect &effect)
+inline void SimulatedCluster::applyEffect(std::size_t index, const Effect &effect)
 {
     Process &process = processes[index];
     if (const auto *send = std::get_if<SendGossip>(&effect)) {
@@ -281,11 +281,11 @@
     } else if (const auto *changed = std::get_if<MemberChanged>(&effect)) {
         process.changes.push_back(*changed);
     } else if (const auto *validate = std::get_if<ValidateConfiguration>(&effect)) {
-        const bool good = valid({validate->number, validate->content});
-        const Common::Result<void> verdict =
-            good ? Common::Result<void>()
-                 : Common::makeError(Common::ErrorCode::InvalidArgument, "refused");
-        applyEffects(index, process.node->configurationValidated(validate->number, verdict, now_));
+        const bool isValid = valid({validate->number, validate->content});
+        const Common::Result<void> result =
+            isValid ? Common::Result<void>()
+                    : Common::makeError(Common::ErrorCode::InvalidArgument, "refused");
+        applyEffects(index, process.node->configurationValidated(validate->number, result, now_));
     } else if (const auto *adopted = std::get_if<ConfigurationAdopted>(&effect)) {
         process.adopted.push_back(adopted->number);
     } else if (const auto *rejected = std::get_if<ConfigurationRejected>(&effect)) {
@@ -312,11 +312,11 @@
     largestDatagram = std::max(largestDatagram, encodedSize(send.message));
     const auto to = indexByAddress_.find(send.to);
     const bool lost = std::bernoulli_distribution(loss)(random_);
-    if (to == indexByAddress_.end() || lost || cut(from, to->second)) {
+    if (to == indexByAddress_.end() || lost || isBlocked(from, to->second)) {
         return;
     }
-    const bool near = processes[from].info.region == processes[to->second].info.region;
-    const auto latency = near ? latencyInRegion : latencyBetweenRegions;
+    const bool sameRegion = processes[from].info.region == processes[to->second].info.region;
+    const auto latency = sameRegion ? latencyInRegion : latencyBetweenRegions;
     events_.push({now_ + latency, ++order_, to->second, from,
                   std::make_shared<const GossipMessage>(send.message), nullptr});
 }
