--- a/Source/Core/Cluster/Cluster.h
+++ b/Source/Core/Cluster/Cluster.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// Public header of the library Cluster: who is alive, which version of the configuration is in
-// force and who gives orders to the engines. State machines without sockets, threads or clocks.
+// Public header of the Cluster library: membership, distribution of the configuration, and
+// coordination of orders to the engines. The classes are state machines without sockets, threads or
+// clocks.
 
 #include "Cluster/ClusterNode.h"
 #include "Cluster/Codec.h"
--- a/Source/Core/Cluster/ClusterNode.h
+++ b/Source/Core/Cluster/ClusterNode.h
@@ -15,7 +15,7 @@
 
 namespace LaburnumChute::Cluster {
 
-/// What this node sent and received to keep the cluster together.
+/// Gossip traffic of this node.
 struct ControlTraffic
 {
     std::uint64_t messagesSent = 0;
@@ -24,13 +24,14 @@
     std::uint64_t bytesReceived = 0;
 };
 
-/// One instance's part in the cluster: membership of its region, contacts and load of the others,
-/// the version of the configuration, notices. A state machine: each input takes the time and gives
-/// back what is to be done. It is used by one thread (or strand) at a time.
+/// One instance's view of the cluster: members of its region, contacts and load of the other
+/// regions, the version of the configuration, notices. It is a state machine: each input takes the
+/// current time and returns the effects to be carried out. Not thread-safe; use it from one thread
+/// or strand at a time.
 class ClusterNode
 {
 public:
-    /// The seed is for the choice of peers; two nodes need different ones.
+    /// The seed randomizes the choice of peers and must differ between nodes.
     ClusterNode(const ClusterOptions &options, const MemberInfo &self, std::uint64_t seed,
                 Common::Time now);
     ~ClusterNode();
@@ -38,42 +39,42 @@
     ClusterNode &operator=(ClusterNode &&) noexcept;
 
     Effects receive(const Address &from, const GossipMessage &message, Common::Time now);
-    /// To be called every ClusterOptions::tickInterval. The wall time orders the summaries of this
-    /// region, which different instances make one after the other.
+    /// Must be called every ClusterOptions::tickInterval. The wall time orders the summaries of
+    /// this region, since different instances publish them over time.
     Effects tick(Common::Time now, Common::WallTime wallNow);
 
-    /// The platform's instance list, whole.
+    /// Replaces the platform's instance list.
     Effects updateSeeds(const std::vector<Seed> &seeds, Common::Time now);
 
-    /// The service answered a ReadConfiguration with a version.
+    /// The service answered ReadConfiguration with a version.
     Effects configurationRead(const ConfigurationVersion &version, Common::Time now);
-    /// The service answered that there is nothing newer.
+    /// The service answered that there is no newer version.
     Effects configurationUnchanged(Common::Time now);
     Effects configurationReadFailed(Common::Time now);
-    /// The answer to ValidateConfiguration: a value puts the version in force.
+    /// The result of ValidateConfiguration; on success the version comes into force.
     Effects configurationValidated(Common::ConfigurationNumber number,
                                    const Common::Result<void> &result, Common::Time now);
 
-    /// Tells all that this instance leaves. It goes on answering until it is stopped.
+    /// Announces to all instances that this one leaves. It keeps answering until it is stopped.
     Effects announceLeaving(Common::Time now);
-    /// Load of this instance; it travels with the next report.
+    /// Sets the load of this instance for the next load report.
     void setLocalLoad(const LoadSummary &load);
-    /// Spreads a notice to all instances of all regions.
+    /// Distributes a notice to all instances of all regions.
     Effects publishNotice(const Notice &notice, Common::Time now);
 
     const MemberInfo &self() const;
-    /// All members of the own region that are remembered, this instance among them.
+    /// All known members of the own region, including this instance and recently dead ones.
     std::vector<MemberView> members() const;
     std::optional<MemberView> member(const Common::InstanceId &id) const;
-    /// The highest incarnation under which this instance of any region was ever heard of.
+    /// The highest known incarnation of an instance of any region.
     std::optional<Common::Incarnation> newestIncarnation(const Common::InstanceId &id) const;
-    /// The version in force; number 0 and no content before the first.
+    /// The version in force; before the first one its number is 0 and its content empty.
     const ConfigurationVersion &configuration() const;
     bool isWatcher() const;
-    /// The member of this region that gives orders for the scope (a model, say); this instance's
-    /// view, which may differ from that of others for a while.
+    /// The member of this region that sends engine orders for the scope (for example, a model). The
+    /// views of two instances may differ for a while.
     Common::InstanceId orderer(std::string_view scope) const;
-    /// Summaries of all regions known, the own one among them.
+    /// Summaries of all known regions, including the own one.
     std::vector<RegionSummary> regions() const;
     /// Notices in force.
     std::vector<Notice> notices() const;
--- a/Source/Core/Cluster/Codec.cpp
+++ b/Source/Core/Cluster/Codec.cpp
@@ -17,8 +17,8 @@
 constexpr std::size_t ChecksumBytes = 8;
 constexpr std::size_t HeaderBytes = FormatTag.size() + ChecksumBytes;
 
-/// Text of at most 255 bytes behind one byte of length. cereal's own form takes 8 bytes of length,
-/// which would double the size of a typical message.
+/// A string of at most 255 bytes with a one-byte length prefix. cereal's own 8-byte length would
+/// double the size of a typical message.
 template <typename Archive>
 void shortText(Archive &archive, std::string &text)
 {
@@ -40,7 +40,7 @@
     }
 }
 
-/// A list behind a count of two bytes, so that a damaged count cannot ask for gigabytes.
+/// A list with a two-byte count, so that a corrupt count cannot cause an allocation of gigabytes.
 template <typename Archive, typename T>
 void shortList(Archive &archive, std::vector<T> &list)
 {
@@ -54,8 +54,8 @@
     }
 }
 
-/// A bool as a byte. cereal copies the byte into the bool as it stands; any but 0 and 1 is
-/// undefined behaviour in whatever reads it.
+/// A bool as a byte. cereal copies the byte into the bool unchecked; reading a bool that holds
+/// anything but 0 or 1 is undefined behaviour.
 template <typename Archive>
 void flag(Archive &archive, bool &value)
 {
@@ -64,13 +64,13 @@
     value = byte != 0;
 }
 
-/// An enumeration, refused when the byte is none of its values.
+/// An enumeration; a value that is not one of its enumerators is rejected.
 template <typename Archive, typename Enumeration>
 void enumeration(Archive &archive, Enumeration &value, Enumeration last)
 {
     archive(value);
     if (value > last) {
-        throw cereal::Exception("a value outside its enumeration");
+        throw cereal::Exception("enumeration value out of range");
     }
 }
 
@@ -233,7 +233,7 @@
 void serialize(Archive &archive, RegionsDigest &digest)
 {
     shortList(archive, digest.versions);
-    flag(archive, digest.answerWanted);
+    flag(archive, digest.replyRequested);
 }
 
 template <typename Archive>
@@ -278,7 +278,7 @@
 std::size_t sizeOf(const T &item)
 {
     SizeArchive archive;
-    // Serialization of this library reads only, but cereal's form of it takes a reference.
+    // SizeArchive only reads, but cereal's serialize() functions take a non-const reference.
     archive(const_cast<T &>(item)); // NOLINT(cppcoreguidelines-pro-type-const-cast)
     return archive.size();
 }
@@ -346,7 +346,7 @@
         archive(message);
         return message;
     } catch (const std::exception &) {
-        return fail("gossip datagram that cannot be read");
+        return fail("malformed gossip datagram");
     }
 }
 
--- a/Source/Core/Cluster/ConfigurationStore.cpp
+++ b/Source/Core/Cluster/ConfigurationStore.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Numbers whose hashes are remembered to find conflicts; at 8,300 changes a day about the last
-/// three hours.
+/// Numbers whose hashes are kept to detect conflicts; at 8,300 changes a day they cover about the
+/// last three hours.
 constexpr std::size_t MaxTrackedNumbers = 1024;
 constexpr std::size_t MaxTrackedConflicts = 256;
 
@@ -38,8 +38,8 @@
 void ConfigurationStore::compare(const ConfigurationDigest &digest,
                                  const Common::InstanceId &holder, Effects &effects)
 {
-    // A digest alone is not remembered as the first content: its holder may be wrong, or gone
-    // before anyone has the content.
+    // A digest alone is not recorded as the first content: its holder may be wrong, or disappear
+    // before anyone has fetched the content.
     if (digest.number != 0 && hashes_.contains(digest.number)) {
         checkHash(digest, holder, effects);
     }
--- a/Source/Core/Cluster/ConfigurationStore.h
+++ b/Source/Core/Cluster/ConfigurationStore.h
@@ -12,35 +12,38 @@
 
 namespace LaburnumChute::Cluster {
 
-/// The version in force, the one being judged, and what is known of others. Every way by which a
-/// version can reach this instance ends in offer(), so that the rules stand in one place:
-/// - a number only grows, whoever offers a lower one: a stale service, one that was set back, or a
-///   peer from the other side of a partition;
-/// - the first content met under a number stays, and another content under it is an alarm;
-/// - a version that is judged invalid is not asked for again, and the last good one stays in force.
+/// The version in force, the one being validated, and what is known about others. Every path by
+/// which a version reaches this instance ends in offer(), which enforces these rules:
+/// - the number in force only grows; lower ones are ignored, whether they come from a stale
+/// service,
+///   one restored from a backup, or a peer on the other side of a partition;
+/// - the first content seen under a number is kept, and a different content under it raises an
+///   alarm;
+/// - an invalid version is not requested again, and the last valid one stays in force.
 class ConfigurationStore
 {
 public:
     explicit ConfigurationStore(std::size_t historyBytes);
 
-    /// A whole version, from the service (no holder) or a peer.
+    /// Offers a complete version from the service (no holder) or from a peer.
     void offer(const ConfigurationVersion &version, const Common::InstanceId &holder,
                Effects &effects);
-    /// Compares what a peer holds with what was met under its number.
+    /// Checks a peer's version against the content first seen under its number.
     void compare(const ConfigurationDigest &digest, const Common::InstanceId &holder,
                  Effects &effects);
     void validated(Common::ConfigurationNumber number, const Common::Result<void> &result,
                    Effects &effects);
-    /// While held, offers are kept and nothing is put in force. A new instance knows nothing: a
-    /// stale service would put an old version in force on it though its peers are further. It is
-    /// released when it has heard its peers.
+    /// Ends the join hold, during which offers are stored but no version is adopted. A new instance
+    /// has no version, so a stale service could make it adopt an older one than its peers have. The
+    /// hold is released once its peers have been heard.
     void release(Effects &effects);
     bool held() const
     {
         return held_;
     }
 
-    /// True when a version of this digest would be of use.
+    /// True if the version should be fetched: it is newer than the one in force and any pending
+    /// one, and neither rejected nor in conflict.
     bool isNeeded(const ConfigurationDigest &digest) const;
     const ConfigurationVersion &current() const
     {
@@ -50,9 +53,10 @@
     {
         return digest_;
     }
-    /// The number above which the service is read: what is in force, being judged or refused.
+    /// The highest number that is in force, being validated, queued for validation or rejected; the
+    /// service is read for versions above it.
     Common::ConfigurationNumber newestSeen() const;
-    /// The content of the current or of a recent version.
+    /// The content of the current or a recent version; null if it is not kept.
     const std::string *content(const ConfigurationDigest &digest) const;
     std::uint64_t staleOffers() const
     {
@@ -81,7 +85,7 @@
     ConfigurationVersion current_;
     ConfigurationDigest digest_;
     std::optional<StoredVersion> validating_;
-    /// Offered while another version was being judged, or while held.
+    /// Offered while another version was being validated or during the join hold.
     std::optional<StoredVersion> next_;
     std::map<Common::ConfigurationNumber, std::uint64_t> hashes_;
     std::map<Common::ConfigurationNumber, std::uint64_t> rejected_;
--- a/Source/Core/Cluster/ConfigurationTransfer.cpp
+++ b/Source/Core/Cluster/ConfigurationTransfer.cpp
@@ -10,13 +10,14 @@
 namespace {
 
 constexpr std::size_t MaxHolders = 4;
-/// Requests without any chunk in answer after which the fetch is given up, until the version is
-/// heard of again.
+/// Unanswered requests in a row after which the fetch is abandoned until the version is announced
+/// again.
 constexpr int MaxFailures = 8;
 constexpr std::size_t MaxCachedDeltas = 8;
-/// A delta of more than this share of the content is not worth a second copy of the work.
+/// A delta larger than this fraction of the content is not worth the effort; the full content is
+/// sent.
 constexpr double MaxDeltaRatio = 0.5;
-/// Largest window a holder answers, whatever was asked.
+/// Maximum number of chunks sent per request, whatever was requested.
 constexpr std::size_t MaxWindowChunks = 64;
 
 std::size_t chunkCount(std::size_t bytes)
@@ -46,8 +47,8 @@
         }
         return std::nullopt;
     }
-    // A fetch under way is finished first: versions that follow each other faster than one can be
-    // fetched would otherwise keep an instance from ever completing one.
+    // A fetch in progress is finished first. Otherwise an instance would never complete one while
+    // new versions are published faster than they can be fetched.
     if (fetch_ && store.isNeeded(fetch_->wanted)) {
         return std::nullopt;
     }
@@ -92,7 +93,7 @@
     if (!fetch_ || chunk.version != fetch_->wanted || !isValid) {
         return std::nullopt;
     }
-    // Holders with different histories send different transfers of the same version.
+    // Holders with different histories send the same version as different deltas or in full.
     if (fetch_->received.empty() || chunk.base != fetch_->base
         || chunk.transferSize != fetch_->transferSize) {
         startTransfer(chunk);
--- a/Source/Core/Cluster/ConfigurationTransfer.h
+++ b/Source/Core/Cluster/ConfigurationTransfer.h
@@ -12,14 +12,14 @@
 
 namespace LaburnumChute::Cluster {
 
-/// Largest content of a version: what the platform's service holds at most, with room to spare.
+/// Maximum content size of a version: the limit of the platform's service plus a margin.
 inline constexpr std::size_t MaxContentBytes = 4u << 20;
-/// Content of one chunk; with the headers it fits a datagram.
+/// Content bytes per chunk; with the headers it fits into a datagram.
 inline constexpr std::size_t ChunkBytes = 1000;
 
-/// Fetches a version from a peer that said to hold it. The receiver asks for a window of chunks and
-/// asks again for what did not come, so that the holder keeps no state. One version is fetched at a
-/// time; several holders are tried in turn.
+/// Fetches a version from a peer that announced it. The receiver requests a window of chunks and
+/// requests missing ones again, so that the holder is stateless. One version is fetched at a time;
+/// several holders are tried in turn.
 class ConfigurationFetch
 {
 public:
@@ -31,23 +31,23 @@
         ConfigurationRequest request;
     };
 
-    /// A peer holds a version that is wanted.
+    /// Handles a peer's announcement; starts a fetch if its version is needed.
     std::optional<Request> onAnnouncement(const Address &holder, const ConfigurationDigest &digest,
                                           const ConfigurationStore &store, Common::Time now);
-    /// A part arrived. When the version is whole, it is in complete().
+    /// Handles a chunk. A complete version is available from takeComplete().
     std::optional<Request> receive(const Address &from, const ConfigurationChunk &chunk,
                                    const ConfigurationStore &store, Common::Time now);
-    /// Asks again for what did not come in time.
+    /// Requests chunks again that did not arrive in time.
     std::optional<Request> tick(const ConfigurationStore &store, Common::Time now);
     void postpone(Common::Duration gap);
 
-    /// The version fetched, once.
+    /// Returns a fetched version once.
     std::optional<ConfigurationVersion> takeComplete();
     bool active() const
     {
         return fetch_.has_value();
     }
-    /// Transfers that gave another content than announced.
+    /// Transfers whose content did not match the announced hash.
     std::uint64_t hashMismatches() const
     {
         return hashMismatches_;
@@ -81,8 +81,8 @@
     std::uint64_t hashMismatches_ = 0;
 };
 
-/// Answers requests for parts of versions. Deltas are kept for the next request, since all members
-/// of a region ask for the same one.
+/// Answers requests for ranges of versions. Deltas are cached, since all members of a region
+/// request the same one.
 class ConfigurationSource
 {
 public:
@@ -94,7 +94,7 @@
     {
         ConfigurationDigest version;
         ConfigurationDigest base;
-        /// Empty: a delta does not pay.
+        /// Empty if a delta is not worthwhile.
         std::string bytes;
     };
 
--- a/Source/Core/Cluster/ConfigurationWatch.cpp
+++ b/Source/Core/Cluster/ConfigurationWatch.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// 8,300 changes a day.
+/// Expected rate: 8,300 changes a day.
 constexpr double ChangesPerSecond = 8300.0 / 86400.0;
-/// Between two reads, also when the service answers at once: one that ignores the wait would else
-/// be asked without pause.
+/// Minimum interval between two reads. Without it, a service that ignores the wait would be polled
+/// in a tight loop.
 constexpr Common::milliseconds MinReadInterval{100};
 
 } // namespace
--- a/Source/Core/Cluster/ConfigurationWatch.h
+++ b/Source/Core/Cluster/ConfigurationWatch.h
@@ -5,11 +5,12 @@
 
 namespace LaburnumChute::Cluster {
 
-/// How many instances of each region watch the service, so that the reads of all regions stay under
-/// ClusterOptions::readsPerSecond. Each watch costs one read per wait and one per change.
+/// Number of instances per region that may watch the service without exceeding
+/// ClusterOptions::readsPerSecond over all regions. Each watcher costs one read per wait and one
+/// per change.
 std::size_t watchersPerRegion(const ClusterOptions &options, std::size_t regions);
 
-/// Paces the reads of a watcher.
+/// Schedules the reads of a watcher.
 class ConfigurationWatch
 {
 public:
@@ -17,9 +18,10 @@
 
     void tick(bool watcher, Common::ConfigurationNumber newestSeen, Common::Time now,
               Effects &effects);
-    /// The service answered with something new, or waited and had nothing.
+    /// The service returned a new version, or none after the wait.
     void succeeded(Common::Time now);
-    /// It failed, or gave what is old: a service that is down or was set back.
+    /// The read failed or returned an old version: the service is down or was restored from a
+    /// backup.
     void failed(Common::Time now);
 
     bool reading() const
--- a/Source/Core/Cluster/Delta.cpp
+++ b/Source/Core/Cluster/Delta.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-/// Stretches of this length are looked for in the base. Shorter ones find more but cost more of the
-/// index; an entry of the configuration is about as long.
+/// Length of the blocks of the base that are indexed. Shorter blocks find more matches but need a
+/// larger index; an entry of the configuration is about this long.
 constexpr std::size_t BlockBytes = 64;
-/// In the search the hash is a polynomial, rolled on by one byte at a time.
+/// Multiplier of the polynomial rolling hash.
 constexpr std::uint64_t Multiplier = 0x9E3779B97F4A7C15ull;
 
 std::uint64_t polynomialHash(std::string_view bytes)
@@ -60,7 +60,8 @@
     }
 
 private:
-    /// A copy of size 0 stands for an insertion.
+    /// An instruction that copies size bytes from the base and then inserts bytes; either part may
+    /// be empty.
     void write(std::uint32_t offset, std::uint32_t size, std::string_view inserted)
     {
         const auto insertedSize = static_cast<std::uint32_t>(inserted.size());
@@ -145,7 +146,7 @@
             const std::size_t total = target.size() + std::size_t{size} + inserted;
             if (std::size_t{offset} + size > base.size() || total > maxBytes
                 || inserted > delta.size()) {
-                return fail("delta does not fit its base");
+                return fail("delta does not match its base");
             }
             target.append(base.substr(offset, size));
             const std::size_t end = target.size();
@@ -153,7 +154,7 @@
             archive(cereal::binary_data(target.data() + end, inserted));
         }
     } catch (const std::exception &) {
-        return fail("delta that cannot be read");
+        return fail("malformed delta");
     }
     return target;
 }
--- a/Source/Core/Cluster/Delta.h
+++ b/Source/Core/Cluster/Delta.h
@@ -7,12 +7,12 @@
 
 namespace LaburnumChute::Cluster {
 
-/// Bytes that make one text out of another: copies of stretches of the base and inserted bytes. It
-/// works on bytes, not on JSON, since the hash of a version is that of the bytes which the service
-/// gave, and rendering patched JSON need not give the same bytes.
+/// Computes a binary delta: ranges copied from the base, and inserted bytes. It operates on bytes,
+/// not on JSON, since the hash of a version covers the bytes that the service returned, and
+/// serializing patched JSON need not reproduce them.
 std::string makeDelta(std::string_view base, std::string_view target);
 
-/// Fails with ProtocolViolation for a delta that does not fit the base or makes more than maxBytes.
+/// Fails with ProtocolViolation if the delta does not match the base or yields more than maxBytes.
 Common::Result<std::string> applyDelta(std::string_view base, std::string_view delta,
                                        std::size_t maxBytes);
 
--- a/Source/Core/Cluster/Effects.h
+++ b/Source/Core/Cluster/Effects.h
@@ -14,79 +14,79 @@
     GossipMessage message;
 };
 
-/// A member of the region became known, changed its state or was replaced.
+/// A member of the region was discovered, changed its state or was replaced.
 struct MemberChanged
 {
     MemberView member;
 };
 
-/// Another process lives under this instance's id with a higher incarnation. This one was paused or
-/// cut off while the platform replaced it, and must not do work that may run only once any more. (A
-/// fresh instance that hears this has a clock that runs behind its predecessor's: it may start
-/// again with an incarnation above this one.)
+/// Another process runs under this instance's id with a higher incarnation. This process was paused
+/// or partitioned while the platform replaced it, and must not do any more work that may run only
+/// once. (A new instance that gets this has a clock behind its predecessor's: it may restart with
+/// an incarnation above the reported one.)
 struct SelfSuperseded
 {
     Common::Incarnation by = 0;
 };
 
-/// This process was paused, so that what it believes of others may be old.
+/// This process was paused, so its view of the other members may be stale.
 struct ResumedAfterPause
 {
     Common::milliseconds pause{0};
 };
 
-/// Whether this version may be put in force is to be answered by configurationValidated().
+/// Requests validation of a version; the result is passed to configurationValidated().
 struct ValidateConfiguration
 {
     Common::ConfigurationNumber number = 0;
     std::string content;
 };
 
-/// This version is in force from now on.
+/// The version is now in force.
 struct ConfigurationAdopted
 {
     Common::ConfigurationNumber number = 0;
     std::string content;
 };
 
-/// The version was judged invalid; the last good one stays in force.
+/// The version is invalid; the last valid one stays in force.
 struct ConfigurationRejected
 {
     Common::ConfigurationNumber number = 0;
     std::string reason;
 };
 
-/// Alarm: two contents exist under one number. The first one that this instance met stays.
+/// Alarm: two contents exist under the same number. The one that this instance saw first is kept.
 struct ConfigurationConflict
 {
     Common::ConfigurationNumber number = 0;
     std::uint64_t keptHash = 0;
     std::uint64_t otherHash = 0;
-    /// The instance that holds the other content; empty when the service gave it.
+    /// The instance that holds the other content; empty if the service returned it.
     Common::InstanceId holder;
 };
 
-/// This instance is a watcher: read the service for a version above the number, waiting there for
-/// the given time, and report by configurationRead(), configurationUnchanged() or
-/// configurationReadFailed(). Only one read is asked for at a time.
+/// Requests a long-polling read of the service for a version above the number; this instance is a
+/// watcher. The outcome is passed to configurationRead(), configurationUnchanged() or
+/// configurationReadFailed(). At most one read is outstanding.
 struct ReadConfiguration
 {
     Common::ConfigurationNumber afterNumber = 0;
     Common::milliseconds wait{0};
 };
 
-/// This instance is no watcher any more: abandon the read, report nothing.
+/// This instance is no longer a watcher: cancel the read without reporting an outcome.
 struct StopReadingConfiguration
 {
 };
 
-/// A notice that was not known, or a newer version of one.
+/// A new notice, or a newer version of a known one.
 struct NoticeReceived
 {
     Notice notice;
 };
 
-/// Another region's summary became known or newer.
+/// A region's summary is new or was updated.
 struct RegionChanged
 {
     RegionSummary summary;
--- a/Source/Core/Cluster/EngineOrder.h
+++ b/Source/Core/Cluster/EngineOrder.h
@@ -26,19 +26,19 @@
     auto operator<=>(const ModelAdapter &) const = default; // NOLINT(modernize-use-nullptr)
 };
 
-/// What a version of the configuration wants of an engine.
+/// Desired state of an engine according to a version of the configuration.
 struct DesiredEngine
 {
     Common::EndpointId endpoint;
-    /// The engine refuses orders with an old fencing number.
+    /// The engine rejects orders with an old fencing token.
     bool checksFences = false;
-    /// Empty: any role will do.
+    /// Empty: any role.
     std::string role;
     std::vector<ModelVersion> models;
     std::vector<ModelAdapter> adapters;
 };
 
-/// What an engine says of itself.
+/// State reported by an engine.
 struct EngineState
 {
     struct Model
@@ -50,13 +50,13 @@
     std::vector<Model> models;
     std::vector<ModelAdapter> adapters;
     std::uint64_t highestFence = 0;
-    /// Orders that reached the engine in its life, from whomever.
+    /// Orders that the engine received since its start, from any instance.
     std::uint64_t ordersSeen = 0;
 };
 
 enum class OrderAction { SetRole, LoadModel, LoadAdapter, UnloadAdapter, UnloadModel };
 
-/// An order names the state that shall be, so that giving it twice is the same as once.
+/// An order names the desired state, which makes it idempotent.
 struct EngineOrder
 {
     OrderAction action = OrderAction::SetRole;
@@ -68,12 +68,12 @@
     bool operator==(const EngineOrder &) const = default;
 };
 
-/// True when the order makes the engine read from the weight store.
+/// True if the order makes the engine read from the weight store.
 bool readsWeights(const EngineOrder &order);
 
-/// The next step from the state to the desired one; nothing when there is none to give, because all
-/// is as desired or a load under way must end first. Loads go before unloads: an engine that drops
-/// what it serves before the successor is ready serves nobody for the time of a load.
+/// Returns the next order on the way to the desired state; nothing if that state is reached or a
+/// load in progress must finish first. Models are loaded before others are unloaded: an engine that
+/// unloads its model before the successor is ready can't serve requests during the load.
 std::optional<EngineOrder> nextOrder(const DesiredEngine &desired, const EngineState &state);
 
 } // namespace LaburnumChute::Cluster
--- a/Source/Core/Cluster/FailureDetector.h
+++ b/Source/Core/Cluster/FailureDetector.h
@@ -11,7 +11,7 @@
 
 namespace LaburnumChute::Cluster {
 
-/// What a round of probing asks for.
+/// The messages to send and members to suspect after a tick.
 struct ProbeActions
 {
     struct Direct
@@ -30,34 +30,36 @@
     std::vector<Common::InstanceId> suspects;
 };
 
-/// Probes one member after the other: a ping, then pings by helpers, then a suspicion. Each member
-/// is probed once in every pass over the region, so that the time to the first suspicion is
-/// bounded, and the load on a member does not grow with the region.
+/// SWIM-style failure detector. It probes one member after the other: with a direct ping, then with
+/// indirect pings through helpers, and suspects the member if none is answered. Each member is
+/// probed once in every round over the region, so that the time to the first suspicion is bounded
+/// and the load on a member does not grow with the region.
 ///
-/// The observer doubts itself first. Failed probes and suspicions against itself raise a score that
-/// makes it wait longer, since an observer that is starved of processor time or receives nothing
-/// finds everybody silent.
+/// Failed probes and suspicions against this instance raise a local health score (as in Lifeguard)
+/// that lengthens the timeouts, since an observer that is starved of processor time or receives
+/// nothing sees all members as unresponsive.
 class FailureDetector
 {
 public:
     FailureDetector(const ClusterOptions &options, Common::Time now);
 
-    /// The probes that are due. Peers are the members to be watched.
+    /// Returns the probes that are due. Peers are the members to probe, sorted by id.
     ProbeActions tick(const std::vector<Common::InstanceId> &peers, std::mt19937_64 &random,
                       Common::Time now);
     void acknowledged(std::uint32_t sequence);
-    /// Others suspected this instance.
+    /// Another member suspected this instance.
     void selfSuspected();
-    /// Drops the probe under way without a verdict, and begins a new one at once.
+    /// Drops the current probe without suspecting its target, and starts a new one at the next
+    /// tick.
     void cancelProbe(Common::Time now);
-    /// Moves the deadlines of the probe under way.
+    /// Postpones the deadlines of the current probe.
     void postpone(Common::Duration gap);
     std::uint32_t nextSequence()
     {
         return ++sequence_;
     }
 
-    /// 0 when all is well, up to MaxLocalHealthScore.
+    /// 0 if this instance is healthy; at most MaxLocalHealthScore.
     int localHealthScore() const
     {
         return localHealthScore_;
--- a/Source/Core/Cluster/LoadAggregator.h
+++ b/Source/Core/Cluster/LoadAggregator.h
@@ -8,13 +8,13 @@
 
 namespace LaburnumChute::Cluster {
 
-/// Adds the loads that the instances of a region report up to the load of the region: work of the
-/// instances is summed, views of the same endpoints are averaged.
+/// Aggregates the load reports of a region's instances into the load of the region: the instances'
+/// requests are summed, and their views of the same endpoints are averaged.
 class LoadAggregator
 {
 public:
     void add(const LoadSummary &loads);
-    /// At most MaxServices, so that a summary fits a datagram.
+    /// Returns at most MaxServices entries, so that a summary fits into a datagram.
     LoadSummary result() const;
 
     static constexpr std::size_t MaxServices = 10;
--- a/Source/Core/Cluster/Membership.cpp
+++ b/Source/Core/Cluster/Membership.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-/// A claim travels in this many messages of each instance, times the binary logarithm of the
-/// members: with two, an instance is missed with a probability below 1% (the periodic comparison of
-/// whole views finds the rest).
+/// Each instance transmits an update this many times the binary logarithm of the member count. With
+/// 2, an update misses an instance with a probability below 1%; the periodic comparison of the
+/// member tables repairs the rest.
 constexpr std::size_t RetransmitMultiplier = 2;
 
 std::size_t binaryLogarithm(std::size_t count)
@@ -86,7 +86,8 @@
 
 void Membership::add(const MemberUpdate &update, Common::Time now, Effects &effects)
 {
-    // Without its addresses a member is of no use; the comparison of whole views brings them.
+    // A member is unusable without its addresses; the comparison of the member tables will provide
+    // them.
     if (!update.info || update.info->region != self_.region) {
         return;
     }
@@ -213,7 +214,7 @@
     const std::size_t limit = transmitLimit();
     for (const auto &[sent, id] : order) {
         PendingUpdate &pending = pendingUpdates_[id];
-        auto update = this->update(id, pending.withInfo);
+        auto update = this->currentUpdate(id, pending.withInfo);
         const std::size_t size = update ? encodedSize(*update) : 0;
         if (size > maxBytes) {
             continue;
@@ -279,7 +280,8 @@
     return update;
 }
 
-std::optional<MemberUpdate> Membership::update(const Common::InstanceId &id, bool withInfo) const
+std::optional<MemberUpdate> Membership::currentUpdate(const Common::InstanceId &id,
+                                                      bool withInfo) const
 {
     if (id == self_.id) {
         return selfUpdate(withInfo);
@@ -360,9 +362,9 @@
     };
     std::uint64_t result = hashOne(selfUpdate(false));
     for (const auto &[id, record] : records_) {
-        // Each instance forgets the dead at its own time, so they are no part of the comparison.
-        // Nor are suspicions and their refutations: with 5% loss one is always under way in a
-        // region of 200, and each comparison ended in a transfer of the whole table.
+        // Dead members are excluded, since each instance removes them at a different time. So are
+        // suspicions and their refutations: with 5% packet loss, one is always in progress in a
+        // region of 200, and every comparison would end in a transfer of the whole table.
         if (record.health != Health::Dead) {
             result ^= hashOne(updateOf(record, false));
         }
--- a/Source/Core/Cluster/Membership.h
+++ b/Source/Core/Cluster/Membership.h
@@ -13,37 +13,37 @@
 
 namespace LaburnumChute::Cluster {
 
-/// Who is in the region and in which state: a table of claims, of which for each member the one
-/// with the highest incarnation, then counter, then health counts. It also keeps the claims that
-/// are yet to be spread.
+/// The members of the region and their states. For each member, the update with the highest
+/// incarnation, then counter, then health takes precedence. The class also queues the updates that
+/// are yet to be disseminated.
 ///
-/// A member that was paused comes back: it hears that it is suspected or dead and answers with a
-/// higher counter, which only it may raise. Without the counter the region would have to choose
-/// between never believing a death and never taking a member back.
+/// A paused member can return: it learns that it is suspected or declared dead and refutes this
+/// with a higher counter, which only the member itself may raise. Without the counter, an update
+/// that declares a member dead could either never take effect or never be reversed.
 class Membership
 {
 public:
     Membership(const ClusterOptions &options, MemberInfo self);
 
-    /// Takes a claim in. Claims about this instance are answered, not believed.
+    /// Applies an update. Suspicions of this instance and claims of its death are refuted instead.
     void apply(const MemberUpdate &update, Common::Time now, Effects &effects);
-    /// The probes of this instance found no answer from the member.
+    /// This instance's probes of the member were not answered.
     void suspect(const Common::InstanceId &id, Common::Time now, Effects &effects);
-    /// Declares members dead whose suspicion ran out, and forgets old ones.
+    /// Declares members dead whose suspicion timed out, and removes members that have been dead for
+    /// long.
     void tick(Common::Time now, Effects &effects);
-    /// This process was paused: what it did not hear meanwhile says nothing about the others, so
-    /// that all suspicions begin anew. Without this an observer that wakes declares dead whom it
-    /// suspected before, though their refutation waits unread in its socket.
+    /// Restarts all suspicion timeouts after this process was paused, since missing messages in
+    /// that time are no evidence against the other members. Otherwise a resumed observer would
+    /// declare members dead whose refutation is still unread in its socket.
     void restartSuspicions(Common::Time now);
-    /// Moves the deadlines of suspicions, after a gap too short to be called a pause.
+    /// Postpones the suspicion timeouts after a gap that is too short to count as a pause.
     void postponeSuspicions(Common::Duration gap);
     void startLeaving();
-    /// Members that the platform's list calls leaving. The list lags: its word counts for as long
-    /// as it stands, is not passed on, and does not hold for an incarnation that replaces the one
-    /// it was said of. Otherwise the replacement of a leaving instance would get no work for its
-    /// whole life.
+    /// Sets the members that the platform's list marks as leaving. The list lags behind, so the
+    /// mark applies only while it is listed, is not disseminated, and does not apply to a later
+    /// incarnation. Otherwise the replacement of a leaving instance would never get any work.
     void setListedLeaving(const std::set<Common::InstanceId> &listed, Effects &effects);
-    /// Claims to send along, the least spread first, up to a size.
+    /// Returns updates to piggyback on a message, the least transmitted first, up to a size.
     std::vector<MemberUpdate> takeUpdates(std::size_t maxBytes);
 
     const MemberInfo &self() const
@@ -54,41 +54,43 @@
     {
         return leaving_;
     }
-    /// How often this instance had to refute a suspicion.
+    /// Number of suspicions that this instance refuted.
     std::uint32_t refutations() const
     {
         return refutations_;
     }
-    /// What the senders of outdated suspicions and deaths should know, since the last call. A
-    /// member whose refutation missed one observer is suspected there until the suspicion ends; all
-    /// others know better, and without this none of them would say so.
+    /// Returns the corrections for senders of outdated suspicions and deaths since the last call.
+    /// If a refutation does not reach one observer, that observer keeps suspecting the member until
+    /// it declares it dead; the other members have already seen the refutation and would otherwise
+    /// not repeat it.
     std::vector<MemberUpdate> takeCorrections()
     {
         return std::exchange(corrections_, {});
     }
-    /// The incarnation that replaced this instance, if it met one.
+    /// The incarnation that replaced this instance, if one was seen.
     std::optional<Common::Incarnation> supersededBy() const
     {
         return supersededBy_;
     }
-    /// Grows with every change of anyone's state, so that others can keep what they derived.
+    /// Incremented with every change of a member's state, so that derived values can be cached.
     std::uint64_t changes() const
     {
         return changes_;
     }
     MemberUpdate selfUpdate(bool withInfo) const;
-    /// What is believed of the member; nothing if it is not known.
-    std::optional<MemberUpdate> update(const Common::InstanceId &id, bool withInfo) const;
+    /// The current state of the member as an update; nothing if it is not known.
+    std::optional<MemberUpdate> currentUpdate(const Common::InstanceId &id, bool withInfo) const;
     std::vector<MemberUpdate> allUpdates() const;
     std::optional<MemberView> view(const Common::InstanceId &id) const;
     std::vector<MemberView> views() const;
-    /// Members that answer as far as is known, this instance not among them; leaving ones are.
+    /// Members that are not dead, including leaving ones but not this instance.
     std::vector<Common::InstanceId> peers() const;
-    /// Members that take work, this instance among them unless it leaves. In the order of names.
+    /// Members that accept new work, including this instance unless it leaves; sorted by id.
     std::vector<Common::InstanceId> eligible() const;
-    /// Members held to be dead.
+    /// Members that are declared dead.
     std::vector<Common::InstanceId> dead() const;
-    /// Equal on two instances that hold the same members, in the same lives, to live or leave.
+    /// Equal on two instances that have the same members with the same incarnations and leaving
+    /// flags.
     std::uint64_t hash() const;
 
 private:
--- a/Source/Core/Cluster/Messages.h
+++ b/Source/Core/Cluster/Messages.h
@@ -12,8 +12,8 @@
 
 enum class Health : std::uint8_t { Alive, Suspect, Dead };
 
-/// A statement about one incarnation of a member. The member alone raises the counter, to refute a
-/// suspicion. Leaving is never taken back within an incarnation.
+/// A membership update about one incarnation of a member. Only the member itself raises the
+/// counter, to refute a suspicion. Leaving is never withdrawn within an incarnation.
 struct MemberUpdate
 {
     Common::InstanceId id;
@@ -21,7 +21,7 @@
     std::uint32_t counter = 0;
     Health health = Health::Alive;
     bool leaving = false;
-    /// Present in the claims by which a member becomes known.
+    /// Present in the updates that introduce a member.
     std::optional<MemberInfo> info;
 };
 
@@ -35,19 +35,19 @@
     std::uint32_t sequence = 0;
 };
 
-/// Asks the receiver to ping the target and to pass on its answer.
+/// Asks the receiver to ping the target and to forward its ack (an indirect probe).
 struct PingRequest
 {
     std::uint32_t sequence = 0;
     Common::InstanceId target;
 };
 
-/// Carries only what every message carries.
+/// Has no body of its own; it only transports what every message piggybacks.
 struct PiggybackOnly
 {
 };
 
-/// Asks for all members, unless the receiver's view has this hash.
+/// Asks for the whole member table, unless the receiver's table has this hash.
 struct MembersRequest
 {
     std::uint64_t hash = 0;
@@ -58,7 +58,7 @@
     std::vector<MemberUpdate> updates;
 };
 
-/// The load of the sender, for the instance that makes the summary of the region.
+/// The load of the sender, for the instance that publishes the summary of the region.
 struct LoadReport
 {
     LoadSummary load;
@@ -71,12 +71,12 @@
     std::uint64_t version = 0;
 };
 
-/// Versions of the region summaries that the sender holds.
+/// Versions of the region summaries that the sender holds (anti-entropy).
 struct RegionsDigest
 {
     std::vector<RegionVersion> versions;
-    /// The receiver shall send its own digest back, so that both learn from each other.
-    bool answerWanted = false;
+    /// The receiver shall send back its own digest, so that both sides are updated.
+    bool replyRequested = false;
 };
 
 struct RegionsPage
@@ -84,21 +84,21 @@
     std::vector<RegionSummary> summaries;
 };
 
-/// Asks for a part of a version, as a delta from the base if the receiver can make one.
+/// Asks for a range of a version, as a delta from the base if the receiver can compute one.
 struct ConfigurationRequest
 {
     ConfigurationDigest wanted;
     ConfigurationDigest base;
-    /// Bytes of the transfer that the sender holds already.
+    /// Bytes of the transfer that the sender already holds.
     std::uint32_t offset = 0;
-    /// Chunks that the receiver shall send.
+    /// Number of chunks that the receiver shall send.
     std::uint16_t chunks = 0;
 };
 
 struct ConfigurationChunk
 {
     ConfigurationDigest version;
-    /// Number 0: the transfer is the whole content, else a delta from this version.
+    /// If its number is 0, the transfer is the full content, otherwise a delta from this version.
     ConfigurationDigest base;
     std::uint32_t transferSize = 0;
     std::uint32_t offset = 0;
@@ -115,16 +115,16 @@
     Common::InstanceId sender;
     Common::Incarnation incarnation = 0;
     Common::RegionName region;
-    /// The version that the sender has in force.
+    /// The version in force at the sender.
     ConfigurationDigest configuration;
-    /// Hash of the notices that the sender holds; a difference makes the receiver send its own.
+    /// Hash of the sender's notices; if it differs, the receiver sends notices of its own.
     std::uint64_t noticesHash = 0;
     std::vector<MemberUpdate> updates;
     std::vector<Notice> notices;
     GossipBody body;
 };
 
-/// Largest datagram: it passes any link without fragments.
+/// Maximum datagram size; small enough to pass any link without fragmentation.
 inline constexpr std::size_t MaxDatagramBytes = 1200;
 
 } // namespace LaburnumChute::Cluster
--- a/Source/Core/Cluster/NodeImpl.cpp
+++ b/Source/Core/Cluster/NodeImpl.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// How many joinHolds a new instance waits in all for the platform's list.
+/// A new instance without the platform's list waits for it for this many times joinHold.
 constexpr int MaxJoinHoldsWithoutSeeds = 5;
 constexpr Common::milliseconds LeavingNoticeLifetime{10 * 60 * 1000};
 
@@ -29,7 +29,7 @@
     , random_(seed)
 {
     directory.recordIncarnation(self.id, self.incarnation);
-    // Instances that start together shall not all speak at the same moment afterwards.
+    // Random phases keep instances that start together from sending at the same times.
     std::uniform_int_distribution<int> phase(0, 999);
     const auto randomPhase = [&] { return now + Common::milliseconds(phase(random_)); };
     timers_ = {now,
@@ -113,7 +113,8 @@
     if (store.digest() == before) {
         return;
     }
-    // Every message carries the digest; these go out only so that the news does not wait.
+    // Every message carries the digest; these are sent only to announce the new version without
+    // delay.
     flood({});
     if (roles().bridge || roles().watcher) {
         floodOtherRegions({}, options.bridges, 1);
@@ -135,7 +136,7 @@
         return;
     }
     flood({notice});
-    // Two contacts in each region: one datagram of twenty is lost, and a contact may be gone.
+    // Two contacts in each region, since 5% of the datagrams may be lost and a contact may be gone.
     floodOtherRegions({notice}, directory.otherRegions().size(), 2);
 }
 
--- a/Source/Core/Cluster/NodeImpl.h
+++ b/Source/Core/Cluster/NodeImpl.h
@@ -16,8 +16,8 @@
 
 namespace LaburnumChute::Cluster {
 
-/// Joins the parts of a node: hands them what arrives, and makes messages of what they want to say.
-/// Private to the library.
+/// Connects the components of a node: dispatches inputs to them and turns their output into
+/// messages. Private to the library.
 class ClusterNode::Impl
 {
 public:
@@ -53,7 +53,7 @@
     ControlTraffic traffic;
     Common::Time lastInput;
 
-    /// Which duties of its region this instance has; derived from the membership.
+    /// The roles of this instance in its region, derived from the membership.
     struct Roles
     {
         std::uint64_t changes = ~0ull;
@@ -68,7 +68,7 @@
 private:
     enum class Locality { OwnRegion, OtherRegion };
 
-    /// An indirect probe that this instance does for another.
+    /// An indirect probe that this instance performs for another one.
     struct IndirectProbe
     {
         Address requester;
@@ -91,7 +91,7 @@
         Common::Time holdEnds;
     };
 
-    // What arrives; NodeReceive.cpp.
+    // Receiving; NodeReceive.cpp.
     void detectPause(Common::Time now);
     void handleSenderUpdates(const Address &from, const GossipMessage &message, Common::Time now);
     void handleNotices(const GossipMessage &message, Common::Time now);
@@ -122,7 +122,7 @@
     Locality localityOf(const GossipMessage &message) const;
     void updateHold(Common::Time now);
 
-    // What time brings; NodeTick.cpp.
+    // Periodic work; NodeTick.cpp.
     void probe(Common::Time now);
     void join(Common::Time now);
     void releaseHoldIfDue(Common::Time now);
@@ -148,7 +148,8 @@
     Effects effects_;
     Roles roles_;
     Timers timers_;
-    /// Who was heard, and the newest version they named, until the hold is released.
+    /// Instances heard from, and the newest version that they announced, until the join hold is
+    /// released.
     std::set<Common::InstanceId> heardPeers_;
     Common::ConfigurationNumber newestPeerNumber_ = 0;
     std::map<std::uint32_t, IndirectProbe> indirectProbes_;
--- a/Source/Core/Cluster/NodeReceive.cpp
+++ b/Source/Core/Cluster/NodeReceive.cpp
@@ -8,13 +8,13 @@
 namespace {
 
 constexpr Common::milliseconds IndirectProbeLifetime{2000};
-/// Datagrams of summaries or notices in answer to one digest.
+/// Maximum number of datagrams with summaries sent in response to one digest.
 constexpr std::size_t MaxPages = 3;
-/// What a page may take beside the other contents of its datagram.
+/// Maximum size of a page; the rest of the datagram is left to its other contents.
 constexpr std::size_t PageBytes = 1000;
 constexpr std::size_t MaxReports = 1024;
 
-/// Cuts a list into pages of bounded size.
+/// Splits a list into pages of bounded size.
 template <typename T>
 std::vector<std::vector<T>> paginate(const std::vector<T> &items, std::size_t maxPages)
 {
@@ -42,7 +42,8 @@
     const Common::Duration gap = now - lastInput;
     lastInput = std::max(lastInput, now);
     if (gap > options.pauseThreshold) {
-        // The process was stopped, or starved: silence of the others in that time is its own.
+        // The process was stopped or starved of processor time. Missing messages in that time are
+        // no evidence against the other members.
         ++pauses_;
         detector.cancelProbe(now);
         membership.restartSuspicions(now);
@@ -93,19 +94,19 @@
     if (membership.refutations() != refutationsSeen_) {
         refutationsSeen_ = membership.refutations();
         detector.selfSuspected();
-        // The one who told of the suspicion hears the answer first, and passes it on.
+        // The instance that reported the suspicion gets the refutation first and forwards it.
         send(from, Locality::OwnRegion, PiggybackOnly{}, {membership.selfUpdate(true)});
     }
     auto corrections = membership.takeCorrections();
     if (!corrections.empty()) {
         send(from, Locality::OwnRegion, PiggybackOnly{}, std::move(corrections));
     }
-    const auto known = membership.update(message.sender, false);
+    const auto known = membership.currentUpdate(message.sender, false);
     if (!known || known->incarnation < message.incarnation) {
         send(from, Locality::OwnRegion, MembersRequest{0}, {membership.selfUpdate(true)});
         return;
     }
-    // It answers this with a higher counter, or learns that it was replaced.
+    // The sender refutes this with a higher counter, or learns that it was replaced.
     if (known->health != Health::Alive || known->incarnation > message.incarnation) {
         send(from, Locality::OwnRegion, PiggybackOnly{}, {*known});
     }
@@ -137,7 +138,7 @@
     if (notice.kind == NoticeKind::InstanceLeaving) {
         const Common::InstanceId id(notice.subject);
         directory.recordLeaving(id, notice.version);
-        auto update = membership.update(id, false);
+        auto update = membership.currentUpdate(id, false);
         if (update && id != membership.self().id && update->incarnation == notice.version) {
             update->leaving = true;
             membership.apply(*update, now, effects_);
@@ -207,7 +208,8 @@
     for (const MemberUpdate &update : page.updates) {
         membership.apply(update, now, effects_);
     }
-    // The page is an answer to this instance; whoever sent it hears the news with the next probe.
+    // The page was sent in response to this instance's request; its sender gets the corrections
+    // with the next probe.
     membership.takeCorrections();
 }
 
@@ -227,7 +229,7 @@
     for (auto &page : paginate(newer, MaxPages)) {
         send(from, localityOf(message), RegionsPage{std::move(page)});
     }
-    if (digest.answerWanted) {
+    if (digest.replyRequested) {
         send(from, localityOf(message), RegionsDigest{directory.versions(), false});
     }
 }
--- a/Source/Core/Cluster/NodeTick.cpp
+++ b/Source/Core/Cluster/NodeTick.cpp
@@ -8,17 +8,17 @@
 namespace {
 
 constexpr Common::milliseconds JoinInterval{1000};
-/// Listed instances pinged a second by a new instance that has not yet heard of a configuration,
-/// and by one that has joined: the latter only looks for members it lost sight of.
+/// Listed instances pinged per second by a new instance whose join hold has not yet been released,
+/// and by one that has joined and only looks for members that it has lost.
 constexpr std::size_t JoinPingsAtStart = 16;
 constexpr std::size_t JoinPingsLater = 1;
 constexpr Common::milliseconds CompareMembersInterval{10000};
 constexpr Common::milliseconds ExchangeInterval{1000};
 constexpr Common::milliseconds HousekeepingInterval{1000};
-/// Reports older than this many intervals are left out of the summary.
+/// Load reports older than this many intervals are left out of the summary.
 constexpr int ReportLifetimes = 3;
 
-/// True when the time has come; sets the next one.
+/// Returns true if the timer has expired, and rearms it.
 bool isDue(Common::Time &timer, Common::Duration interval, Common::Time now)
 {
     if (now < timer) {
@@ -62,7 +62,7 @@
     }
     for (const Common::InstanceId &id : actions.suspects) {
         membership.suspect(id, now, effects_);
-        const auto update = membership.update(id, false);
+        const auto update = membership.currentUpdate(id, false);
         if (update) {
             sendToMember(id, PiggybackOnly{}, {*update});
         }
--- a/Source/Core/Cluster/NoticeTable.cpp
+++ b/Source/Core/Cluster/NoticeTable.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// A notice with less time left is not passed on: it would expire on the way, and two instances
-/// would hand it to each other for ever.
+/// A notice with a shorter remaining lifetime is neither accepted nor forwarded: it could expire in
+/// transit, and two instances would keep sending it to each other.
 constexpr Common::milliseconds MinLifetime{200};
 constexpr Common::milliseconds MaxLifetime{60 * 60 * 1000};
 
--- a/Source/Core/Cluster/NoticeTable.h
+++ b/Source/Core/Cluster/NoticeTable.h
@@ -11,23 +11,23 @@
 
 namespace LaburnumChute::Cluster {
 
-/// The notices in force. It holds a bounded number: when full it drops the one that would expire
-/// first, so that a flood of notices costs memory of a known size.
+/// The active notices. Their number is bounded to limit memory: when the table is full, the notice
+/// that would expire first is evicted.
 class NoticeTable
 {
 public:
     explicit NoticeTable(std::size_t maxNotices);
 
-    /// True when the notice was not known or is newer than the one held.
+    /// Returns true if the notice is new or newer than the stored one.
     bool apply(const Notice &notice, Common::Time now);
     void expire(Common::Time now);
 
     std::vector<Notice> all(Common::Time now) const;
-    /// Some of the notices, chosen at random, up to a size.
+    /// Returns a random selection of the notices, up to a size.
     std::vector<Notice> sample(std::size_t maxBytes, std::mt19937_64 &random,
                                Common::Time now) const;
     const Notice *find(NoticeKind kind, const std::string &subject) const;
-    /// Equal on two instances that hold the same notices.
+    /// Equal on two instances that have the same notices.
     std::uint64_t hash() const
     {
         return hash_;
--- a/Source/Core/Cluster/Options.h
+++ b/Source/Core/Cluster/Options.h
@@ -6,58 +6,61 @@
 
 namespace LaburnumChute::Cluster {
 
-/// Times and bounds of membership and configuration spread. The defaults are for 94 instances in a
-/// region, 31 regions and a loss of 5%; docs/design/membership.md says where they come from.
+/// Timing and limits of membership and configuration distribution. The defaults are meant for 94
+/// instances per region, 31 regions and 5% packet loss; docs/design/membership.md explains them.
 struct ClusterOptions
 {
-    /// How often tick() is called; a gap of several of these means that this process was paused.
+    /// Interval at which tick() is called. A gap of several intervals means that this process was
+    /// paused.
     Common::milliseconds tickInterval{50};
-    /// A gap between two inputs from which this process holds itself to have been paused.
+    /// A longer gap between two inputs counts as a pause of this process.
     Common::milliseconds pauseThreshold{400};
 
-    /// One member is probed in each period.
+    /// One member is probed per period.
     Common::milliseconds probePeriod{500};
-    /// Wait for the answer to a direct probe before others are asked to probe.
+    /// How long to wait for the ack of a direct probe before asking other members for indirect
+    /// probes.
     Common::milliseconds probeTimeout{200};
     std::size_t indirectProbes = 3;
-    /// A suspicion lasts this many probe periods plus the binary logarithm of the members.
+    /// A suspicion lasts this many probe periods, plus the binary logarithm of the member count.
     std::size_t suspicionPeriods = 4;
-    /// A dead member is remembered for this long, so that late claims do not bring it back.
+    /// Dead members are kept this long, so that late updates do not revive them.
     Common::milliseconds deadRetention{10 * 60 * 1000};
 
-    /// Members that a node tells at once what it newly learnt and all must know soon.
+    /// Number of members to which a node immediately forwards new urgent information.
     std::size_t floodFanout = 4;
     std::size_t maxNotices = 512;
 
-    /// Instances of a region that speak with other regions.
+    /// Number of instances of a region that exchange gossip with other regions.
     std::size_t bridges = 3;
-    /// Contacts that a region names to the others.
+    /// Number of contacts that a region announces to other regions.
     std::size_t contactsPerRegion = 3;
-    /// A region makes a new summary no more often than this, and for each region it knows no more
-    /// often than summaryIntervalPerRegion.
+    /// Minimum interval between two summaries of a region; it is at least summaryIntervalPerRegion
+    /// times the number of known regions.
     Common::milliseconds summaryInterval{1000};
     Common::milliseconds summaryIntervalPerRegion{160};
-    /// A member reports its load no more often than this for each member of its region, since one
-    /// instance receives the reports of all: 25 a second, about 5 KB/s.
+    /// Minimum interval between two load reports of a member, multiplied by the members of its
+    /// region. A single instance receives the reports of all: 25 per second, about 5 KB/s.
     Common::milliseconds reportIntervalPerMember{40};
 
-    /// Instances of a region that watch the configuration service. Fewer when the service's reads
-    /// would not suffice.
+    /// Number of instances of a region that watch the configuration service; fewer if
+    /// readsPerSecond would be exceeded.
     std::size_t watchersPerRegion = 2;
-    /// Reads a second, over all regions, that the watches may take: a tenth of what the service
-    /// gives.
+    /// Limit on the reads per second of all watches in all regions: a tenth of what the service
+    /// allows.
     double readsPerSecond = 200;
-    /// How long a watch waits at the service.
+    /// How long the service holds a watch open (long polling).
     Common::milliseconds watchWait{10000};
-    /// Before a watch after a failed one; doubled up to the maximum.
+    /// Delay before the next watch after a failed one; doubled up to the maximum.
     Common::milliseconds watchRetry{500};
     Common::milliseconds watchRetryMax{5000};
-    /// A new instance waits this long for word of its peers' version before it takes the service's.
+    /// How long a new instance waits to learn its peers' version before it adopts the one of the
+    /// service.
     Common::milliseconds joinHold{2000};
-    /// Chunks asked for at once, and the wait before they are asked for again.
+    /// Chunks requested at once, and the timeout after which they are requested again.
     std::size_t chunkWindow = 32;
     Common::milliseconds chunkTimeout{250};
-    /// Bytes of earlier versions that are kept to make deltas from.
+    /// Total size of the earlier versions that are kept as bases for deltas.
     std::size_t historyBytes = 4u << 20;
 };
 
--- a/Source/Core/Cluster/OrderCoordinator.cpp
+++ b/Source/Core/Cluster/OrderCoordinator.cpp
@@ -11,16 +11,16 @@
 
 void OrderCoordinator::setDesired(const std::vector<DesiredEngine> &engines)
 {
-    std::map<Common::EndpointId, Engine> next;
+    std::map<Common::EndpointId, Engine> updated;
     for (const DesiredEngine &desired : engines) {
         const auto known = engines_.find(desired.endpoint);
         Engine engine = known == engines_.end() ? Engine{} : std::move(known->second);
         engine.desired = desired;
-        // What is desired may be new, so the next reading comes soon.
-        engine.next = quietUntil_;
-        next.emplace(desired.endpoint, std::move(engine));
+        // The desired state may have changed, so the engine is read again soon.
+        engine.nextRead = quietUntil_;
+        updated.emplace(desired.endpoint, std::move(engine));
     }
-    engines_ = std::move(next);
+    engines_ = std::move(updated);
 }
 
 void OrderCoordinator::setLoadsPerMinute(double loads)
@@ -44,12 +44,12 @@
 void OrderCoordinator::startQuietPeriod(Common::Time now)
 {
     quietUntil_ = now + options_.quietPeriod;
-    // The former orderer may have used up the store's rate.
+    // The former orderer may have used up the rate of the weight store.
     loadTokens_ = 0;
     tokensUpdated_ = now;
     for (auto &[id, engine] : engines_) {
         engine.phase = Phase::Idle;
-        engine.next = quietUntil_;
+        engine.nextRead = quietUntil_;
         engine.ordersExpected.reset();
     }
 }
@@ -64,7 +64,7 @@
         if (engine.phase != Phase::Idle && now >= engine.deadline) {
             markUncertain(engine, now);
         }
-        if (engine.phase == Phase::Idle && now >= engine.next) {
+        if (engine.phase == Phase::Idle && now >= engine.nextRead) {
             engine.phase = Phase::Reading;
             engine.deadline = now + options_.answerTimeout;
             effects.push_back(ReadEngineState{id});
@@ -84,7 +84,7 @@
     }
     Engine &engine = it->second;
     engine.phase = Phase::Idle;
-    engine.next = now + options_.auditInterval;
+    engine.nextRead = now + options_.auditInterval;
     const bool foreign = engine.ordersExpected && *engine.ordersExpected != state.ordersSeen;
     engine.ordersExpected = state.ordersSeen;
     engine.deviates = nextOrder(engine.desired, state).has_value();
@@ -92,9 +92,9 @@
         return {};
     }
     if (foreign) {
-        // Two that order the same engine out of different versions of the configuration would undo
-        // each other's work without end, a load each time.
-        engine.next = now + options_.quietPeriod;
+        // Two orderers with different versions of the configuration would keep undoing each other's
+        // orders, with a load each time.
+        engine.nextRead = now + options_.quietPeriod;
         return {ForeignOrders{endpoint}};
     }
     return decide(engine, state, now, wallNow);
@@ -108,13 +108,13 @@
                                      [](const auto &model) { return !model.ready; });
     engine.loading = loading;
     if (!order) {
-        engine.next = now + (loading ? options_.settleInterval : options_.auditInterval);
+        engine.nextRead = now + (loading ? options_.settleInterval : options_.auditInterval);
         return {};
     }
     const bool reload = order->action == OrderAction::LoadModel;
     if ((reload && !mayReload(engine, state, order->model))
         || (readsWeights(*order) && !takeLoadToken(now))) {
-        engine.next = now + options_.settleInterval;
+        engine.nextRead = now + options_.settleInterval;
         return {};
     }
     engine.loading = engine.loading || reload;
@@ -177,7 +177,7 @@
     }
     Engine &engine = it->second;
     engine.phase = Phase::Idle;
-    engine.next = now + options_.settleInterval;
+    engine.nextRead = now + options_.settleInterval;
     if (std::holds_alternative<OrderAccepted>(answer) && engine.ordersExpected) {
         ++*engine.ordersExpected;
         return;
@@ -187,9 +187,10 @@
         markUncertain(engine, now);
         return;
     }
-    // Another orderer is further on. To outbid it at once would start a race of numbers.
+    // Another orderer has a higher fencing token. Exceeding it at once would start a race between
+    // the two.
     engine.ordersExpected.reset();
-    engine.next = now + options_.quietPeriod;
+    engine.nextRead = now + options_.quietPeriod;
 }
 
 void OrderCoordinator::markUncertain(Engine &engine, Common::Time now)
@@ -197,7 +198,7 @@
     const bool mayArriveLate = engine.phase == Phase::Ordering && !engine.desired.checksFences;
     engine.phase = Phase::Idle;
     engine.ordersExpected.reset();
-    engine.next = now + (mayArriveLate ? options_.quietPeriod : options_.settleInterval);
+    engine.nextRead = now + (mayArriveLate ? options_.quietPeriod : options_.settleInterval);
 }
 
 std::size_t OrderCoordinator::deviating() const
--- a/Source/Core/Cluster/OrderCoordinator.h
+++ b/Source/Core/Cluster/OrderCoordinator.h
@@ -13,31 +13,32 @@
 
 struct OrderOptions
 {
-    /// After this instance became the orderer it gives no orders for this long. In that time the
-    /// former orderer learns of the change (a death takes up to 5 s to be believed by all of a
-    /// region of 94, a leave under 2 s) and what it gave last shows in the engines' states.
+    /// Time without orders after this instance became the orderer. Meanwhile the former orderer
+    /// learns of the change (in a region of 94, a death reaches all within 5 s, a leave within 2
+    /// s), and its last orders become visible in the engines' states.
     Common::milliseconds quietPeriod{8000};
-    /// Between an order and the reading that shows its effect, and between readings during a load.
+    /// Delay between an order and the reading of its effect, and interval between readings during a
+    /// load.
     Common::milliseconds settleInterval{2000};
-    /// Between readings when all is as desired.
+    /// Interval between readings when the engine is in its desired state.
     Common::milliseconds auditInterval{30000};
-    /// An unanswered reading or order counts as failed after this long.
+    /// Timeout of a reading or an order.
     Common::milliseconds answerTimeout{5000};
-    /// Share of the engines of a model that may be loading while they served it before. An engine
-    /// may drop the old version when it begins to load the new one; a new version given to all at
-    /// once would leave nobody to serve the model.
+    /// Maximum fraction of a model's engines that may load a new version of it at the same time. An
+    /// engine may unload the old version when it starts to load the new one, so without a limit no
+    /// engine would serve the model during the rollout.
     double maxReloadingFraction = 0.34;
-    /// Loads that may be given one right after the other, when none were for a while.
+    /// Burst size of the token bucket that limits the rate of loads.
     double loadBurst = 2;
 };
 
-/// Read the engine's state and report by stateRead() or stateReadFailed().
+/// Read the engine's state and pass the outcome to stateRead() or stateReadFailed().
 struct ReadEngineState
 {
     Common::EndpointId endpoint;
 };
 
-/// Give the order and report by orderAnswered().
+/// Send the order and pass the outcome to orderAnswered().
 struct SendOrder
 {
     Common::EndpointId endpoint;
@@ -45,7 +46,7 @@
     std::uint64_t fence = 0;
 };
 
-/// Somebody else gave this engine orders meanwhile; this instance holds back.
+/// Another instance has sent orders to this engine; this one pauses its own.
 struct ForeignOrders
 {
     Common::EndpointId endpoint;
@@ -57,39 +58,41 @@
 struct OrderAccepted
 {
 };
-/// The engine has seen a higher fencing number; the next reading tells which.
+/// The engine has seen a higher fencing token; the next reading returns it.
 struct OrderFenced
 {
 };
-/// No answer, or an error: the order may have been carried out.
+/// No answer or an error; the order may have been executed.
 struct OrderUncertain
 {
 };
 using OrderAnswer = std::variant<OrderAccepted, OrderFenced, OrderUncertain>;
 
-/// Gives the engines of a region their orders, on the one instance that ClusterNode::orderer()
-/// names. Views of the membership differ for a while, so that two instances may both believe to be
-/// the orderer, and one that was paused believes it when it wakes. Four things keep that harmless:
-/// - orders name a state and are given only on a state that was just read;
-/// - a fencing number is above every number read from any engine, and above the wall clock, so that
-///   it grows from one orderer to the next without a store;
-/// - a new orderer, one that was paused, and one that meets foreign orders keep quiet for a while;
-/// - after an order whose fate is unknown, an engine that ignores fencing numbers is left alone
-/// until
-///   the order can no longer arrive; one that checks them refuses it then.
-/// Loads are paced, since the weight store turns away what exceeds its rate, and an engine whose
-/// load was turned away serves nothing.
+/// Sends orders to the engines of a region, on the one instance that ClusterNode::orderer()
+/// selects. Since views of the membership may differ for a while, two instances may both consider
+/// themselves the orderer, and a paused one may still do so when it resumes. Four rules make this
+/// safe:
+/// - orders are idempotent and sent only in response to a state that was just read;
+/// - a fencing token is above every token read from any engine and not below the wall clock time,
+///   so that tokens increase from one orderer to the next without being stored;
+/// - a new orderer, one that was paused, and one that detects foreign orders wait for a quiet
+///   period;
+/// - after an order whose outcome is unknown, an engine that ignores fencing tokens gets no orders
+///   until that order can no longer arrive; an engine that checks them would reject it.
+///
+/// Loads are rate limited, since the weight store rejects reads above its rate, and an engine whose
+/// load was rejected can't serve requests.
 class OrderCoordinator
 {
 public:
     explicit OrderCoordinator(const OrderOptions &options);
 
-    /// The engines of this region as the configuration in force wants them.
+    /// Sets the desired state of this region's engines according to the configuration in force.
     void setDesired(const std::vector<DesiredEngine> &engines);
-    /// This region's share of what the store gives.
+    /// Sets the rate of loads that the weight store grants this region.
     void setLoadsPerMinute(double loads);
     void setOrderer(bool orderer, Common::Time now);
-    /// This process was paused.
+    /// Call after this process was paused; starts a quiet period.
     void resumed(Common::Time now);
 
     OrderEffects tick(Common::Time now);
@@ -107,7 +110,7 @@
     {
         return highestFence_;
     }
-    /// Engines whose last reading was not as desired.
+    /// Number of engines that were not in their desired state when last read.
     std::size_t deviating() const;
 
 private:
@@ -116,12 +119,12 @@
     {
         DesiredEngine desired;
         Phase phase = Phase::Idle;
-        Common::Time next;
+        Common::Time nextRead;
         Common::Time deadline;
         bool deviates = false;
-        /// It was told to load, or the last reading showed a load.
+        /// A load was ordered, or the last reading showed one in progress.
         bool loading = false;
-        /// Orders the engine had seen at the last reading, with the one given since.
+        /// Orders that the engine had seen at the last reading, plus the one sent since.
         std::optional<std::uint64_t> ordersExpected;
     };
 
--- a/Source/Core/Cluster/RegionDirectory.cpp
+++ b/Source/Core/Cluster/RegionDirectory.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Incarnations and leaves that are remembered; beyond it the table starts anew. Several times the
-/// fleet of 2,900 instances, with each replaced more than once a day.
+/// Maximum number of tracked incarnations and leaves; a table that exceeds it is cleared. It is
+/// several times the fleet of 2,900 instances, each of which is replaced more than once a day.
 constexpr std::size_t MaxTrackedInstances = 16384;
 
 template <typename Map>
@@ -139,8 +139,8 @@
             }
         }
     }
-    // One listed instance is always among the candidates: the contacts of an old summary may all
-    // have been replaced while the regions were apart.
+    // One listed instance is always a candidate, since all contacts of an old summary may have been
+    // replaced during a partition.
     const auto seeds = seedsByRegion_.find(region);
     if (seeds != seedsByRegion_.end()) {
         const auto *id = pick(seeds->second, random);
--- a/Source/Core/Cluster/RegionDirectory.h
+++ b/Source/Core/Cluster/RegionDirectory.h
@@ -12,45 +12,45 @@
 
 namespace LaburnumChute::Cluster {
 
-/// What this instance knows beyond the members of its region: the platform's list, and the
+/// What this instance knows beyond the members of its region: the platform's instance list and the
 /// summaries of all regions.
 ///
-/// With 2,900 instances a table of all members everywhere would take each instance 29 times the
-/// messages of its own region; a summary is about 400 bytes for a region of any size.
+/// With 2,900 instances, a global member table would cost each instance 29 times the messages of
+/// its own region; a summary has about 400 bytes regardless of the region's size.
 class RegionDirectory
 {
 public:
     RegionDirectory(const ClusterOptions &options, Common::RegionName ownRegion);
 
     void setSeeds(const std::vector<Seed> &seeds);
-    /// True when the summary is newer than the one held.
+    /// Returns true if the summary is newer than the stored one.
     bool apply(const RegionSummary &summary);
-    /// A contact that was heard to leave is chosen no more.
+    /// Marks an instance as leaving; it is no longer chosen as a contact.
     void recordLeaving(const Common::InstanceId &id, Common::Incarnation incarnation);
-    /// Remembers the incarnation under which an instance was heard.
+    /// Records the incarnation of an instance that was heard from.
     void recordIncarnation(const Common::InstanceId &id, Common::Incarnation incarnation);
 
     bool seedsKnown() const
     {
         return !seeds_.empty();
     }
-    /// The platform's list has precedence, since a link may translate addresses.
+    /// Addresses of the platform's list take precedence, since a link may translate addresses.
     Address gossipAddress(const MemberInfo &info) const;
     MemberInfo withListedAddresses(MemberInfo info) const;
     /// Listed instances of the own region.
     std::vector<Seed> ownSeeds() const;
     /// Regions other than the own one, from the list and the summaries.
     std::vector<Common::RegionName> otherRegions() const;
-    /// Where to reach some instance of the region.
+    /// Returns the gossip address of a random usable instance of the region.
     std::optional<Address> contact(const Common::RegionName &region, std::mt19937_64 &random) const;
     std::optional<Common::Incarnation> newestIncarnation(const Common::InstanceId &id) const;
 
-    /// Without the contacts that were heard to leave.
+    /// The known summaries without contacts that are leaving.
     std::vector<RegionSummary> summaries() const;
     std::vector<RegionVersion> versions() const;
-    /// Summaries that are newer than what the digest names.
+    /// Summaries that are newer than the given versions.
     std::vector<RegionSummary> newerThan(const std::vector<RegionVersion> &versions) const;
-    /// How often a region makes a summary, given how many regions there are.
+    /// Interval between the summaries of a region; it grows with the number of regions.
     Common::Duration summaryInterval() const;
 
 private:
--- a/Source/Core/Cluster/Rendezvous.h
+++ b/Source/Core/Cluster/Rendezvous.h
@@ -7,9 +7,9 @@
 
 namespace LaburnumChute::Cluster {
 
-/// The candidates with the highest rendezvous weights for the key, best first. Two instances that
-/// agree on the candidates agree on the choice, and the loss of one candidate changes nothing about
-/// the others.
+/// Returns the candidates with the highest rendezvous weights for the key, best first. Instances
+/// with the same candidates make the same choice, and removing a candidate does not affect the
+/// order of the others.
 std::vector<Common::InstanceId> chooseByRendezvous(std::vector<Common::InstanceId> candidates,
                                                    std::string_view key, std::size_t count);
 
--- a/Source/Core/Cluster/Types.h
+++ b/Source/Core/Cluster/Types.h
@@ -14,7 +14,8 @@
 /// "ip:port".
 using Address = Common::Name<struct AddressTag>;
 
-/// What an instance says of itself. The incarnation is the wall clock in milliseconds at its start.
+/// The identity and addresses that an instance announces. The incarnation is its start time in wall
+/// clock milliseconds.
 struct MemberInfo
 {
     Common::InstanceId id;
@@ -26,8 +27,8 @@
     Address channelAddress;
 };
 
-/// A line of the platform's instance list. Its addresses are those at which this viewer reaches the
-/// instance, so they go before those that the instance gives of itself.
+/// An entry of the platform's instance list. Its addresses are those at which this viewer reaches
+/// the instance, so they take precedence over the ones that the instance announces.
 struct Seed
 {
     Common::InstanceId id;
@@ -41,36 +42,37 @@
 
 enum class MemberState {
     Alive,
-    /// It missed a probe and has not yet answered the suspicion.
+    /// It missed a probe and has not yet refuted the suspicion.
     Suspect,
-    /// It answered no one for the whole suspicion time, or was replaced.
+    /// It did not refute the suspicion in time, or it was replaced.
     Dead,
-    /// It said, or the platform says, that it leaves: no new work for it.
+    /// The instance itself or the platform announced that it leaves: it gets no new work.
     Leaving,
 };
 
 std::string_view toString(MemberState state);
 
-/// A member as this instance sees it.
+/// The state of a member as seen by this instance.
 struct MemberView
 {
     MemberInfo info;
     MemberState state = MemberState::Alive;
 };
 
-/// Load of one model or service, as one instance or one region sees it.
+/// Load of one model or service, as seen by one instance or one region.
 struct ServiceLoad
 {
-    /// Model or service.
+    /// Name of the model or service.
     std::string name;
-    /// Requests in flight from the instance; added up over a region.
+    /// Requests in flight from the instance; summed over a region.
     std::uint32_t running = 0;
-    /// Requests queued at the instance; added up over a region.
+    /// Requests queued at the instance; summed over a region.
     std::uint32_t waiting = 0;
-    /// Requests that the region's endpoints take at once; the largest view of a region's instances.
+    /// Concurrent requests that the region's endpoints accept; for a region, the maximum that any
+    /// of its instances reports.
     std::uint32_t limit = 0;
-    /// What another region needs to know before it sends work here. Each instance sees the same
-    /// endpoints, so that a region's value is the mean of its instances' views.
+    /// Lets another region decide whether to send requests here. All instances of a region see the
+    /// same endpoints, so the region's value is the mean of what its instances report.
     std::uint32_t freeTokensPerSecond = 0;
     std::uint32_t expectedWaitMs = 0;
     std::uint32_t prefillTokensPerSecond = 0;
@@ -79,11 +81,11 @@
 
 using LoadSummary = std::vector<ServiceLoad>;
 
-/// What other regions know of a region: a few contacts in place of all its members, and its load.
+/// What other regions know about a region: a few contacts instead of all its members, and its load.
 struct RegionSummary
 {
     Common::RegionName region;
-    /// Wall clock milliseconds of its making; a higher version replaces a lower one.
+    /// Creation time in wall clock milliseconds; a higher version replaces a lower one.
     std::uint64_t version = 0;
     std::uint32_t aliveMembers = 0;
     std::vector<MemberInfo> contacts;
@@ -93,31 +95,32 @@
 enum class NoticeKind : std::uint8_t {
     /// The subject is the fingerprint of a request that is suspected to crash its endpoints.
     SuspectedPoison,
-    /// The subject is an endpoint that leaves.
+    /// The subject is an endpoint that is about to leave.
     EndpointLeaving,
-    /// The subject is an endpoint that some instance has ejected.
+    /// The subject is an endpoint that an instance has ejected.
     EndpointEjected,
-    /// The subject is an instance of the system; the version is its incarnation.
+    /// The subject is an instance that is about to leave; the version is its incarnation.
     InstanceLeaving,
 };
 
-/// A small fact that all instances of all regions learn within a second or two and forget after its
-/// lifetime. Kind and subject name it; a higher version replaces a lower one.
+/// A small piece of information that reaches all instances of all regions within a second or two
+/// and expires after its lifetime. It is identified by kind and subject; a higher version replaces
+/// a lower one.
 struct Notice
 {
     NoticeKind kind = NoticeKind::SuspectedPoison;
     /// At most 255 bytes.
     std::string subject;
-    /// At most 255 bytes, for the reader of the notice.
+    /// Free text for the recipient, at most 255 bytes.
     std::string detail;
     std::uint64_t version = 0;
-    /// False takes an earlier notice back.
+    /// False withdraws an earlier notice.
     bool active = true;
-    /// What is left of its lifetime.
+    /// Remaining lifetime.
     Common::milliseconds lifetime{0};
 };
 
-/// Names a version of the configuration together with its bytes.
+/// Identifies a version of the configuration and its content.
 struct ConfigurationDigest
 {
     Common::ConfigurationNumber number = 0;
