--- a/Source/UnitTests/Cluster/CodecDamageTest.cpp
+++ b/Source/UnitTests/Cluster/CodecDamageTest.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t TagBytes = 4;
 constexpr std::size_t ChecksumBytes = 8;
 
-/// The datagram with its last byte replaced, and the checksum that fits.
+/// Replaces the last byte of a datagram and updates its checksum.
 std::string withLastByte(std::string datagram, char byte)
 {
     datagram.back() = byte;
@@ -24,8 +24,8 @@
 
 TEST(CodecDamageTest, ByteThatIsNoBoolReadsAsTrue)
 {
-    // An instance of another release writes a flag that this one does not know of. Read as it
-    // stands the bool is neither true nor false, and branches on it go either way.
+    // An instance of another release may write a flag byte other than 0 and 1. Copied unchecked
+    // into a bool, it is neither true nor false, and branches on it are unpredictable.
     GossipMessage message;
     message.sender = Common::InstanceId("otaru-1");
     message.body = RegionsDigest{{}, true};
--- a/Source/UnitTests/Cluster/CodecTest.cpp
+++ b/Source/UnitTests/Cluster/CodecTest.cpp
@@ -41,9 +41,9 @@
     EXPECT_EQ(std::get<ConfigurationChunk>(decoded->body).bytes, std::string(30, 'x'));
 }
 
-// A link damages a datagram in a way that its own checksum misses, or another program sends to the
-// wrong port. An instance that believed it could count a member as dead or chase a configuration
-// number that does not exist; callers would see refusals without a cause.
+// A datagram is corrupted in a way that the UDP checksum misses, or another program sends to this
+// port. An instance that accepted it could consider a member dead or try to fetch a configuration
+// number that does not exist, and reject requests without a reason.
 RC_GTEST_PROP(CodecTest, DamagedDatagramIsRejected, ())
 {
     std::string datagram = encode(sampleMessage());
--- a/Source/UnitTests/Cluster/ConfigurationTest.cpp
+++ b/Source/UnitTests/Cluster/ConfigurationTest.cpp
@@ -26,7 +26,7 @@
     cluster.publishSeeds();
 }
 
-/// Content of about the given size, made of lines like those of a real document.
+/// Content of about the given size, with lines like those of a real configuration.
 std::string document(std::size_t bytes, int variant)
 {
     std::string text = "{\"variant\": " + std::to_string(variant) + "\n";
@@ -65,8 +65,8 @@
     }
 }
 
-// The platform replaces all instances but one while its service is down, or gives an old version.
-// If the new ones believed it, operators would see a change that was in force everywhere undone.
+// The platform replaces all instances but one while its service is down or returns an old version.
+// If the new instances adopted that, a change that was in force everywhere would be reverted.
 TEST(ConfigurationTest, VersionSurvivesTheRestartOfAllInstancesButOne)
 {
     for (const bool stale : {false, true}) {
@@ -90,7 +90,8 @@
     }
 }
 
-// The service is set back to an old state, as from a backup, and gives it to all who read.
+// The service is reverted to an old state, for example from a backup, and returns that to all
+// readers.
 TEST(ConfigurationTest, RevertedServiceDowngradesNoInstanceAndIsReadWithBackoff)
 {
     SimulatedCluster cluster(12);
@@ -109,14 +110,16 @@
     const auto before = reads();
     cluster.run(seconds(60));
     EXPECT_TRUE(cluster.allInForce(9));
-    EXPECT_LE(reads() - before, 6u * 20u) << "six watchers, one read in five seconds after backoff";
+    EXPECT_LE(reads() - before, 6u * 20u)
+        << "six watchers, one read per five seconds after backoff";
     cluster.service = {10, "ten"};
     EXPECT_TRUE(cluster.runUntil([&] { return cluster.allInForce(10); }, seconds(15)));
 }
 
 // An operator restores the service on one side of a partition and publishes again, so that one
-// number has two contents. Nobody can say which one is right: each keeps what it had first, and
-// both sides must say so, or callers of two regions get different routes for weeks.
+// number has two contents. Neither can be known to be right, so each instance keeps the one it saw
+// first. Both sides must report the conflict; otherwise callers of two regions could get different
+// routes for weeks.
 TEST(ConfigurationTest, TwoContentsUnderOneNumberAreReportedByBothSides)
 {
     SimulatedCluster cluster(13);
@@ -146,8 +149,8 @@
     EXPECT_TRUE(cluster.runUntil([&] { return cluster.allInForce(3); }, seconds(20)));
 }
 
-// An operator publishes a version that names a model that does not exist. It must not take a route
-// out of service, and the next good version must come through.
+// An operator publishes a version that refers to a model that does not exist. It must not take a
+// route out of service, and the next valid version must be adopted.
 TEST(ConfigurationTest, InvalidVersionLeavesTheLastGoodOneInForce)
 {
     SimulatedCluster cluster(14);
@@ -164,13 +167,14 @@
         reports += process.rejected.size();
     }
     EXPECT_GT(reports, 0u);
-    EXPECT_LE(reports, 6u) << "each watcher says it once";
+    EXPECT_LE(reports, 6u) << "each watcher reports it once";
     cluster.service = {3, "good again"};
     EXPECT_TRUE(cluster.runUntil([&] { return cluster.allInForce(3); }, seconds(4)));
 }
 
-// The first content of a number was refused as invalid, and the operator publishes another one
-// under the same number. Instances that started later would take it, the others would not.
+// The first content of a number was rejected as invalid, and the operator publishes another one
+// under the same number. If it were adopted, only instances that did not see the first one would do
+// so.
 TEST(ConfigurationTest, SecondContentOfARejectedNumberIsAConflictAndIsNotAdopted)
 {
     ConfigurationStore store(1000);
@@ -185,7 +189,8 @@
     EXPECT_EQ(store.newestSeen(), 2u);
 }
 
-// A region reaches neither the service nor the other regions for a while, and changes go on.
+// A region reaches neither the service nor the other regions for a while, and new versions are
+// published meanwhile.
 TEST(ConfigurationTest, HealedPartitionCatchesUpFromPeersAlone)
 {
     SimulatedCluster cluster(15);
--- a/Source/UnitTests/Cluster/MembershipTest.cpp
+++ b/Source/UnitTests/Cluster/MembershipTest.cpp
@@ -69,8 +69,8 @@
     }
 }
 
-// An instance loses its power. The others send it work until they notice; callers whose requests it
-// held wait for nothing.
+// An instance loses power. Until the others detect it, they keep sending it requests, and callers
+// whose requests it held wait in vain.
 TEST(MembershipTest, DeadInstanceIsDetectedWithinThirtySeconds)
 {
     SimulatedCluster cluster(2);
@@ -84,8 +84,9 @@
     EXPECT_TRUE(detected);
 }
 
-// The platform stops a process for a while and lets it go on. What it did not hear meanwhile is its
-// own doing; if it blamed the others it would stop using three healthy instances at once.
+// The platform pauses a process for a while and resumes it. Messages that it missed in that time
+// are no evidence against the other members; otherwise it would declare three healthy instances
+// dead at once.
 RC_GTEST_PROP(MembershipTest, PausedObserverDeclaresNobodyDead, ())
 {
     SimulatedCluster cluster(*rc::gen::arbitrary<std::uint64_t>());
@@ -106,9 +107,9 @@
     }
 }
 
-// An observer suspects a member, rightly or not, and is stopped before the answer reaches it. The
-// answer waits unread in its socket when its timers fire; to act on the old suspicion would take a
-// healthy instance out of service.
+// An observer suspects a member and is paused before the refutation arrives. When it resumes, its
+// timers fire while the refutation is still unread in its socket. Acting on the old suspicion would
+// take a healthy instance out of service.
 TEST(MembershipTest, SuspicionFromBeforeAPauseDoesNotExpireOnResume)
 {
     SimulatedCluster cluster(7);
@@ -136,8 +137,8 @@
     }
 }
 
-// A process that was stopped long enough is held to be dead. When it goes on it must come back by
-// itself; without that a pause of ten seconds would cost the instance for the rest of its life.
+// A process that is paused long enough is declared dead. When resumed, it must rejoin by itself;
+// otherwise a pause of ten seconds would exclude the instance until it is restarted.
 TEST(MembershipTest, ResumedInstanceRefutesItsDeath)
 {
     SimulatedCluster cluster(3);
@@ -153,9 +154,8 @@
     EXPECT_EQ(cluster.processes[1].pauses, 1);
 }
 
-// The platform replaces a stopped instance under the same name, and the old process wakes up later.
-// The old one must learn that it is no longer the instance; otherwise both would run the same
-// medal order.
+// The platform replaces a paused instance under the same id, and the old process is resumed later.
+// It must learn that it was superseded; otherwise both processes would run the same medal order.
 TEST(MembershipTest, ReplacementSupersedesTheOldProcessAndItIsNotified)
 {
     SimulatedCluster cluster(4);
@@ -200,8 +200,9 @@
     EXPECT_EQ(supersededBy, incarnation);
 }
 
-// A switch forwards what one instance sends but nothing that is sent to it from another. Helpers
-// reach the member, so that it is not given up for one bad path.
+// One instance cannot reach another, for example because of a faulty switch, while the reverse
+// direction works. Helpers still reach that member, so a single broken path must not lead to its
+// death.
 TEST(MembershipTest, OneWayPartitionBetweenTwoMembersCausesNoFalseDeath)
 {
     SimulatedCluster cluster(5);
@@ -213,8 +214,8 @@
     EXPECT_EQ(deathsReported(cluster), 0u);
 }
 
-// Half of a region is cut off from the other half for a while, as when a failure domain loses its
-// uplink. Each half gives up the other; when the link is back they must find each other again.
+// Half of a region is partitioned from the other half for a while, as when a failure domain loses
+// its uplink. Each half declares the other dead; once the link is restored, they must rejoin.
 TEST(MembershipTest, HealedPartitionJoinsAgain)
 {
     SimulatedCluster cluster(6);
@@ -237,8 +238,8 @@
         seconds(30)));
 }
 
-// An instance is to be taken out of service. A peer that goes on naming it to callers sends them to
-// a closed door a moment later.
+// An instance is about to be taken out of service. A peer that does not know this keeps directing
+// callers to it, whose connections will soon be refused.
 TEST(MembershipTest, LeaveReachesAllWithinTwoSecondsInSpiteOfLoss)
 {
     for (std::uint64_t seed = 0; seed < 10; ++seed) {
@@ -257,10 +258,10 @@
     }
 }
 
-// A woken instance refutes a suspicion, and one observer misses all messages that carry the answer.
-// All others know better; unless they say so when it repeats the old suspicion, it gives up a
-// healthy instance when the suspicion ends. Seen as 1 to 3 false deaths an hour among 16 instances
-// of which one was paused every 4 s.
+// A resumed instance refutes a suspicion, and one observer misses all messages with the refutation.
+// Unless the others correct it when it repeats the outdated suspicion, it declares a healthy
+// instance dead when the suspicion times out. Without corrections there were 1 to 3 false deaths an
+// hour among 16 instances, one of which was paused every 4 s.
 TEST(MembershipTest, OutdatedSuspicionIsCorrected)
 {
     const auto info = [](const std::string &name) {
@@ -299,8 +300,8 @@
     EXPECT_EQ(node.member(suspected.id)->state, MemberState::Alive);
 }
 
-// The platform's list calls an instance leaving after it has been replaced, since the list lags.
-// The replacement must get work all the same.
+// The platform's list lags behind and still marks an instance as leaving after it was replaced. The
+// replacement must get work nonetheless.
 TEST(MembershipTest, LeavingFlagOfTheListDoesNotApplyToTheReplacement)
 {
     MemberInfo self;
--- a/Source/UnitTests/Cluster/NoticeTest.cpp
+++ b/Source/UnitTests/Cluster/NoticeTest.cpp
@@ -17,8 +17,8 @@
 }
 
 // A request crashes its endpoint, and its caller sends it again two seconds later to an instance in
-// another region. What one instance suspects must be known there by then, or the next endpoint
-// goes.
+// another region. By then that instance must know of the suspicion, or the request crashes another
+// endpoint.
 TEST(NoticeTest, ReachesAllInstancesOfAllRegionsBeforeAResend)
 {
     for (std::uint64_t seed = 0; seed < 5; ++seed) {
@@ -63,7 +63,8 @@
     EXPECT_EQ(table.hash(), NoticeTable(4).hash());
 }
 
-// A caller sends thousands of different requests that crash endpoints. The table stays small.
+// Guards against unbounded memory use when a caller sends thousands of different requests that
+// crash endpoints.
 TEST(NoticeTest, TableIsBounded)
 {
     NoticeTable table(4);
--- a/Source/UnitTests/Cluster/OrdersTest.cpp
+++ b/Source/UnitTests/Cluster/OrdersTest.cpp
@@ -16,14 +16,14 @@
 const Common::EndpointId Runner("runner-1");
 const Common::ModelName Inscription("inscription");
 
-/// An engine that loads in four seconds and, if told so, checks fencing numbers.
+/// An engine that loads a model in four seconds and optionally checks fencing tokens.
 struct FakeEngine
 {
     bool checksFences = false;
     EngineState state;
     Common::Time loadEnds;
     int loads = 0;
-    /// An unload left it without any model that is ready.
+    /// The last unload left it without any model that is ready.
     bool hadNoReadyModel = false;
 
     OrderAnswer execute(const EngineOrder &order, std::uint64_t fence, Common::Time now)
@@ -63,7 +63,7 @@
     return {endpoint, checksFences, "", {{Inscription, version}}, {}};
 }
 
-/// Instances that give orders to engines, in steps of 100 ms.
+/// Simulates instances that send orders to engines, in steps of 100 ms.
 struct OrderSimulation
 {
     Common::Time now{seconds(1000)};
@@ -130,9 +130,9 @@
     }
 }
 
-// Two instances believe to be the orderer, because one has not yet heard that the other lives. With
-// orders given blindly an engine would load a model twice, and its callers would wait twice as
-// long.
+// Two instances consider themselves the orderer, because one does not yet know that the other is
+// alive. If they sent orders without reading the state first, an engine would load a model twice,
+// and its callers would wait twice as long.
 TEST(OrdersTest, TwoOrderersWithTheSameVersionLoadOnce)
 {
     for (const bool checks : {false, true}) {
@@ -146,7 +146,8 @@
 }
 
 // A partition leaves one orderer with an older configuration. On an engine that ignores fencing
-// numbers each undoes the other's work; a load every few seconds would eat the weight store's rate.
+// tokens, each would undo the other's orders; a load every few seconds would use up the rate of the
+// weight store.
 TEST(OrdersTest, OrderersWithDifferentVersionsDoNotFlap)
 {
     OrderSimulation simulation;
@@ -155,11 +156,12 @@
     simulation.run({&older, &newer}, seconds(300), Wall);
     EXPECT_GT(simulation.foreignOrders, 0);
     EXPECT_LE(simulation.sentOrders.size(), 2u * 300u / 8u)
-        << "one order in each quiet period of each";
+        << "one order per quiet period from each orderer";
 }
 
-// The orderer is replaced by an instance whose clock runs an hour behind, and nothing was stored.
-// An engine that checks fencing numbers would refuse everything for an hour.
+// The orderer is replaced by an instance whose clock is an hour behind, and fencing tokens are not
+// stored. If tokens depended on the clock alone, an engine that checks them would reject all orders
+// for an hour.
 TEST(OrdersTest, FencingNumbersGrowOverReplacementsWithAClockBehind)
 {
     OrderSimulation simulation;
@@ -177,7 +179,8 @@
     EXPECT_GT(simulation.sentOrders[1].first, simulation.sentOrders[0].first);
 }
 
-// The orderer is stopped, another one takes over, and the first wakes up with an order in mind.
+// The orderer is paused between reading an engine's state and sending an order, and another one
+// takes over. When resumed, the first must not act on the old state.
 TEST(OrdersTest, ResumedOrdererWaitsQuietPeriodAndReadsFirst)
 {
     OrderSimulation simulation;
@@ -194,9 +197,8 @@
     EXPECT_EQ(simulation.sentOrders.size(), 1u);
 }
 
-// The answer to an order is lost, and the order itself may be stuck on the way. If the engine does
-// not check fencing numbers and the next order overtakes it, the late one undoes the newer one's
-// work.
+// The answer to an order is lost, and the order itself may be delayed. If the engine does not check
+// fencing tokens and a newer order overtakes it, the delayed order undoes the newer one.
 TEST(OrdersTest, UncertainOrderToAnEngineWithoutFencingDelaysTheNext)
 {
     for (const bool checks : {false, true}) {
@@ -213,8 +215,8 @@
     }
 }
 
-// A new version places a model on forty runners at once. The weight store turns away what exceeds
-// its rate, and the runners whose load was turned away serve nothing.
+// A new version assigns a model to forty runners at once. The weight store rejects reads above its
+// rate, and runners whose load was rejected can't serve requests.
 TEST(OrdersTest, LoadsStayWithinTheRateOfTheWeightStore)
 {
     OrderSimulation simulation;
@@ -235,8 +237,9 @@
     EXPECT_EQ(coordinator.deviating(), 0u);
 }
 
-// An operator publishes a new version of a model that nine engines serve, and each drops the old
-// one when it begins to load. Given to all at once, nobody serves the model for the time of a load.
+// An operator publishes a new version of a model that nine engines serve, and each unloads the old
+// one when it starts to load the new one. If all were ordered to load at once, no engine would
+// serve the model during the load.
 TEST(OrdersTest, NewVersionIsRolledOutInStages)
 {
     OrderSimulation simulation;
@@ -262,7 +265,7 @@
     EXPECT_EQ(coordinator.deviating(), 0u);
 }
 
-/// A text that looks like the name of a version; few different ones, so that they often agree.
+/// An arbitrary version name out of a few, so that equal ones are frequent.
 std::string arbitraryVersion()
 {
     return std::to_string(*rc::gen::inRange(0, 4));
--- a/Source/UnitTests/Cluster/SimulatedCluster.h
+++ b/Source/UnitTests/Cluster/SimulatedCluster.h
@@ -14,7 +14,7 @@
 
 namespace LaburnumChute::Cluster::Testing {
 
-/// What became of one process: its node, and what the node reported.
+/// A simulated process: its node, and the effects that the node reported.
 struct Process
 {
     MemberInfo info;
@@ -23,7 +23,7 @@
     bool reading = false;
     Common::Time readEnds;
     Common::ConfigurationNumber readAfter = 0;
-    /// Datagrams that wait in the socket of a paused process: sender and message.
+    /// Datagrams in the socket of a paused process: sender and message.
     std::vector<std::pair<std::size_t, std::shared_ptr<const GossipMessage>>> unreadDatagrams;
     std::vector<Common::ConfigurationNumber> adopted;
     std::vector<Common::ConfigurationNumber> rejected;
@@ -34,7 +34,7 @@
     int pauses = 0;
 };
 
-/// Nodes on a lossy network under a virtual clock, beside a configuration service.
+/// Simulates nodes on a lossy network with a virtual clock, and a configuration service.
 class SimulatedCluster
 {
 public:
@@ -47,18 +47,20 @@
     double loss = 0;
     Common::milliseconds latencyInRegion{1};
     Common::milliseconds latencyBetweenRegions{55};
-    /// True for datagrams that never arrive; indices of sender and receiver.
+    /// Returns true if datagrams from the first process to the second are dropped; arguments are
+    /// indices of sender and receiver.
     std::function<bool(std::size_t, std::size_t)> isBlocked = [](std::size_t, std::size_t) {
         return false;
     };
-    /// Lines of the platform's list for each other region; fewer spare the memory of a large run.
+    /// Entries of the platform's list for each other region; a lower limit saves memory in large
+    /// runs.
     std::size_t listedOfOtherRegions = ~std::size_t{0};
     bool timerFirst = true;
     bool serviceUp = true;
-    /// A service that gives what it has without regard to the number asked after.
+    /// The service returns its version regardless of the requested number.
     bool serviceIgnoresNumber = false;
     ConfigurationVersion service;
-    /// What the service gives to a process.
+    /// The version that the service returns to a process.
     std::function<ConfigurationVersion(std::size_t)> serviceFor = [this](std::size_t) {
         return service;
     };
@@ -73,7 +75,7 @@
         return now_;
     }
 
-    /// Starts a process in the region, or a replacement without memory under an old index.
+    /// Starts a process in the region, or, with an index, a replacement without any state.
     std::size_t start(const std::string &region, std::optional<std::size_t> index = std::nullopt);
     void kill(std::size_t index)
     {
@@ -84,13 +86,14 @@
         processes[index].paused = true;
     }
     void resume(std::size_t index);
-    /// Gives all processes the platform's list: those that live.
+    /// Sends the platform's list, with all running processes, to each process.
     void publishSeeds();
     void run(Common::Duration duration);
-    /// Runs until the condition holds; the time it took, or nothing after the limit.
+    /// Runs until the condition holds and returns the elapsed time, or nothing if the limit is
+    /// reached.
     std::optional<Common::Duration> runUntil(const std::function<bool()> &condition,
                                              Common::Duration limit);
-    /// Carries out what a node asked for.
+    /// Carries out the effects returned by a node.
     void applyEffects(std::size_t index, const Effects &effects);
 
     std::size_t statesSeen(std::size_t subject, MemberState state) const;
@@ -103,7 +106,7 @@
         std::uint64_t order = 0;
         std::size_t to = 0;
         std::size_t from = 0;
-        /// None: a tick.
+        /// Null for a tick.
         std::shared_ptr<const GossipMessage> message;
         const ClusterNode *tickedNode = nullptr;
         bool operator<(const Event &other) const
@@ -155,7 +158,7 @@
 {
     Process &process = processes[index];
     process.paused = false;
-    // Whether its timer or its socket comes first is not in the hands of a process that wakes.
+    // A resumed process has no control over whether its timer or its socket is handled first.
     if (timerFirst) {
         applyEffects(index, process.node->tick(now_, wallStart_ + now_.time_since_epoch()));
     }
