--- a/Source/Core/Cluster/Codec.cpp
+++ b/Source/Core/Cluster/Codec.cpp
@@ -17,8 +17,8 @@
 constexpr std::size_t ChecksumBytes = 8;
 constexpr std::size_t HeaderBytes = FormatTag.size() + ChecksumBytes;
 
-/// Text of at most 255 bytes behind one byte of length. cereal's own form takes 8 bytes of length,
-/// which would double the size of a typical message.
+/// A string of at most 255 bytes with a one-byte length prefix. cereal's own 8-byte length would
+/// double the size of a typical message.
 template <typename Archive>
 void shortText(Archive &archive, std::string &text)
 {
@@ -40,7 +40,7 @@
     }
 }
 
-/// A list behind a count of two bytes, so that a damaged count cannot ask for gigabytes.
+/// A list with a two-byte count, so that a corrupt count cannot cause an allocation of gigabytes.
 template <typename Archive, typename T>
 void shortList(Archive &archive, std::vector<T> &list)
 {
@@ -54,8 +54,8 @@
     }
 }
 
-/// A bool as a byte. cereal copies the byte into the bool as it stands; any but 0 and 1 is
-/// undefined behaviour in whatever reads it.
+/// A bool as a byte. cereal copies the byte into the bool unchecked; reading a bool that holds
+/// anything but 0 or 1 is undefined behaviour.
 template <typename Archive>
 void flag(Archive &archive, bool &value)
 {
@@ -64,13 +64,13 @@
     value = byte != 0;
 }
 
-/// An enumeration, refused when the byte is none of its values.
+/// An enumeration; a value that is not one of its enumerators is rejected.
 template <typename Archive, typename Enumeration>
 void enumeration(Archive &archive, Enumeration &value, Enumeration last)
 {
     archive(value);
     if (value > last) {
-        throw cereal::Exception("a value outside its enumeration");
+        throw cereal::Exception("enumeration value out of range");
     }
 }
 
@@ -166,18 +166,18 @@
 }
 
 template <typename Archive>
-void serialize(Archive &archive, MemberClaim &claim)
-{
-    shortName(archive, claim.id);
-    bool known = claim.info.has_value();
-    archive(claim.incarnation, claim.counter);
-    enumeration(archive, claim.health, Health::Dead);
-    flag(archive, claim.leaving);
-    flag(archive, known);
-    if (known) {
-        MemberInfo info = claim.info.value_or(MemberInfo{});
+void serialize(Archive &archive, MemberUpdate &update)
+{
+    shortName(archive, update.id);
+    bool hasInfo = update.info.has_value();
+    archive(update.incarnation, update.counter);
+    enumeration(archive, update.health, Health::Dead);
+    flag(archive, update.leaving);
+    flag(archive, hasInfo);
+    if (hasInfo) {
+        MemberInfo info = update.info.value_or(MemberInfo{});
         archive(info);
-        claim.info = std::move(info);
+        update.info = std::move(info);
     }
 }
 
@@ -201,7 +201,7 @@
 }
 
 template <typename Archive>
-void serialize(Archive &, Carrier &)
+void serialize(Archive &, PiggybackOnly &)
 {
 }
 
@@ -214,7 +214,7 @@
 template <typename Archive>
 void serialize(Archive &archive, MembersPage &page)
 {
-    shortList(archive, page.claims);
+    shortList(archive, page.updates);
 }
 
 template <typename Archive>
@@ -233,7 +233,7 @@
 void serialize(Archive &archive, RegionsDigest &digest)
 {
     shortList(archive, digest.versions);
-    flag(archive, digest.answerWanted);
+    flag(archive, digest.replyRequested);
 }
 
 template <typename Archive>
@@ -267,7 +267,7 @@
     archive(message.incarnation);
     shortName(archive, message.region);
     archive(message.configuration, message.noticesHash);
-    shortList(archive, message.claims);
+    shortList(archive, message.updates);
     shortList(archive, message.notices);
     archive(message.body);
 }
@@ -278,7 +278,7 @@
 std::size_t sizeOf(const T &item)
 {
     SizeArchive archive;
-    // Serialization of this library reads only, but cereal's form of it takes a reference.
+    // SizeArchive only reads, but cereal's serialize() functions take a non-const reference.
     archive(const_cast<T &>(item)); // NOLINT(cppcoreguidelines-pro-type-const-cast)
     return archive.size();
 }
@@ -291,9 +291,9 @@
     return HeaderBytes + EndianMark + sizeOf(message);
 }
 
-std::size_t encodedSize(const MemberClaim &claim)
+std::size_t encodedSize(const MemberUpdate &update)
 {
-    return sizeOf(claim);
+    return sizeOf(update);
 }
 
 std::size_t encodedSize(const Notice &notice)
@@ -346,7 +346,7 @@
         archive(message);
         return message;
     } catch (const std::exception &) {
-        return fail("gossip datagram that cannot be read");
+        return fail("malformed gossip datagram");
     }
 }
 
--- a/Source/Core/Cluster/Delta.cpp
+++ b/Source/Core/Cluster/Delta.cpp
@@ -13,13 +13,13 @@
 
 namespace {
 
-/// Stretches of this length are looked for in the base. Shorter ones find more but cost more of the
-/// index; an entry of the configuration is about as long.
+/// Length of the blocks of the base that are indexed. Shorter blocks find more matches but need a
+/// larger index; an entry of the configuration is about this long.
 constexpr std::size_t BlockBytes = 64;
-/// In the search the hash is a polynomial, rolled on by one byte at a time.
+/// Multiplier of the polynomial rolling hash.
 constexpr std::uint64_t Multiplier = 0x9E3779B97F4A7C15ull;
 
-std::uint64_t polynomial(std::string_view bytes)
+std::uint64_t polynomialHash(std::string_view bytes)
 {
     std::uint64_t hash = 0;
     for (const char byte : bytes) {
@@ -60,7 +60,8 @@
     }
 
 private:
-    /// A copy of size 0 stands for an insertion.
+    /// An instruction that copies size bytes from the base and then inserts bytes; either part may
+    /// be empty.
     void write(std::uint32_t offset, std::uint32_t size, std::string_view inserted)
     {
         const auto insertedSize = static_cast<std::uint32_t>(inserted.size());
@@ -76,8 +77,8 @@
 {
     std::unordered_map<std::uint64_t, std::size_t> index;
     index.reserve(base.size() / BlockBytes);
-    for (std::size_t at = 0; at + BlockBytes <= base.size(); at += BlockBytes) {
-        index.emplace(polynomial(base.substr(at, BlockBytes)), at);
+    for (std::size_t position = 0; position + BlockBytes <= base.size(); position += BlockBytes) {
+        index.emplace(polynomialHash(base.substr(position, BlockBytes)), position);
     }
     return index;
 }
@@ -95,34 +96,35 @@
     const auto index = indexBlocks(base);
     const std::uint64_t power = highestPower();
     DeltaWriter writer;
-    std::size_t pending = 0;
-    std::size_t at = 0;
+    std::size_t literalStart = 0;
+    std::size_t position = 0;
     std::uint64_t hash = 0;
     bool hashValid = false;
-    while (at + BlockBytes <= target.size()) {
+    while (position + BlockBytes <= target.size()) {
         if (!hashValid) {
-            hash = polynomial(target.substr(at, BlockBytes));
+            hash = polynomialHash(target.substr(position, BlockBytes));
             hashValid = true;
         }
         const auto found = index.find(hash);
-        const std::size_t length =
-            found == index.end() ? 0 : commonLength(base.substr(found->second), target.substr(at));
+        const std::size_t length = found == index.end() ? 0
+                                                        : commonLength(base.substr(found->second),
+                                                                       target.substr(position));
         if (length >= BlockBytes) {
-            writer.insert(target.substr(pending, at - pending));
+            writer.insert(target.substr(literalStart, position - literalStart));
             writer.copy(found->second, length);
-            at += length;
-            pending = at;
+            position += length;
+            literalStart = position;
             hashValid = false;
             continue;
         }
-        const auto first = static_cast<unsigned char>(target[at]) + 1u;
-        if (at + BlockBytes < target.size()) {
-            const auto next = static_cast<unsigned char>(target[at + BlockBytes]) + 1u;
+        const auto first = static_cast<unsigned char>(target[position]) + 1u;
+        if (position + BlockBytes < target.size()) {
+            const auto next = static_cast<unsigned char>(target[position + BlockBytes]) + 1u;
             hash = (hash - first * power) * Multiplier + next;
         }
-        ++at;
+        ++position;
     }
-    writer.insert(target.substr(pending));
+    writer.insert(target.substr(literalStart));
     return writer.text();
 }
 
@@ -144,7 +146,7 @@
             const std::size_t total = target.size() + std::size_t{size} + inserted;
             if (std::size_t{offset} + size > base.size() || total > maxBytes
                 || inserted > delta.size()) {
-                return fail("delta does not fit its base");
+                return fail("delta does not match its base");
             }
             target.append(base.substr(offset, size));
             const std::size_t end = target.size();
@@ -152,7 +154,7 @@
             archive(cereal::binary_data(target.data() + end, inserted));
         }
     } catch (const std::exception &) {
-        return fail("delta that cannot be read");
+        return fail("malformed delta");
     }
     return target;
 }
--- a/Source/Core/Cluster/NoticeBoard.cpp
+++ b/Source/Core/Cluster/NoticeTable.cpp
@@ -1,4 +1,4 @@
-#include "Cluster/NoticeBoard.h"
+#include "Cluster/NoticeTable.h"
 
 #include <algorithm>
 
@@ -9,21 +9,21 @@
 
 namespace {
 
-/// A notice with less time left is not passed on: it would expire on the way, and two instances
-/// would hand it to each other for ever.
-constexpr Common::milliseconds LeastLifetime{200};
-constexpr Common::milliseconds MostLifetime{60 * 60 * 1000};
+/// A notice with a shorter remaining lifetime is neither accepted nor forwarded: it could expire in
+/// transit, and two instances would keep sending it to each other.
+constexpr Common::milliseconds MinLifetime{200};
+constexpr Common::milliseconds MaxLifetime{60 * 60 * 1000};
 
 } // namespace
 
-NoticeBoard::NoticeBoard(std::size_t maxNotices)
+NoticeTable::NoticeTable(std::size_t maxNotices)
     : maxNotices_(maxNotices)
 {
 }
 
-bool NoticeBoard::apply(const Notice &notice, Common::Time now)
+bool NoticeTable::apply(const Notice &notice, Common::Time now)
 {
-    if (notice.lifetime < LeastLifetime) {
+    if (notice.lifetime < MinLifetime) {
         return false;
     }
     const Key key{notice.kind, notice.subject};
@@ -34,14 +34,14 @@
         }
         erase(it);
     }
-    makeRoom();
-    const auto lifetime = std::min(notice.lifetime, MostLifetime);
+    evictIfFull();
+    const auto lifetime = std::min(notice.lifetime, MaxLifetime);
     entries_.emplace(key, Entry{notice, now + lifetime});
     hash_ ^= hashOf(notice);
     return true;
 }
 
-void NoticeBoard::expire(Common::Time now)
+void NoticeTable::expire(Common::Time now)
 {
     for (auto it = entries_.begin(); it != entries_.end();) {
         const auto next = std::next(it);
@@ -52,20 +52,21 @@
     }
 }
 
-std::vector<Notice> NoticeBoard::all(Common::Time now) const
+std::vector<Notice> NoticeTable::all(Common::Time now) const
 {
     std::vector<Notice> notices;
     for (const auto &[key, entry] : entries_) {
-        const auto left = std::chrono::duration_cast<Common::milliseconds>(entry.expires - now);
-        if (left >= LeastLifetime) {
+        const auto remaining =
+            std::chrono::duration_cast<Common::milliseconds>(entry.expires - now);
+        if (remaining >= MinLifetime) {
             notices.push_back(entry.notice);
-            notices.back().lifetime = left;
+            notices.back().lifetime = remaining;
         }
     }
     return notices;
 }
 
-std::vector<Notice> NoticeBoard::sample(std::size_t maxBytes, std::mt19937_64 &random,
+std::vector<Notice> NoticeTable::sample(std::size_t maxBytes, std::mt19937_64 &random,
                                         Common::Time now) const
 {
     std::vector<Notice> notices = all(now);
@@ -80,34 +81,34 @@
     return notices;
 }
 
-const Notice *NoticeBoard::find(NoticeKind kind, const std::string &subject) const
+const Notice *NoticeTable::find(NoticeKind kind, const std::string &subject) const
 {
     const auto it = entries_.find({kind, subject});
     return it == entries_.end() ? nullptr : &it->second.notice;
 }
 
-std::uint64_t NoticeBoard::hashOf(const Notice &notice)
+std::uint64_t NoticeTable::hashOf(const Notice &notice)
 {
     const auto seed = notice.version * 4 + static_cast<std::uint64_t>(notice.kind);
     return Common::stableHash(notice.subject, seed);
 }
 
-void NoticeBoard::erase(std::map<Key, Entry>::iterator it)
+void NoticeTable::erase(std::map<Key, Entry>::iterator it)
 {
     hash_ ^= hashOf(it->second.notice);
     entries_.erase(it);
 }
 
-void NoticeBoard::makeRoom()
+void NoticeTable::evictIfFull()
 {
     if (entries_.size() < maxNotices_) {
         return;
     }
-    const auto first =
+    const auto earliest =
         std::min_element(entries_.begin(), entries_.end(), [](const auto &a, const auto &b) {
             return a.second.expires < b.second.expires;
         });
-    erase(first);
+    erase(earliest);
 }
 
 } // namespace LaburnumChute::Cluster
--- a/Source/UnitTests/Cluster/MessageBus.h
+++ b/Source/UnitTests/Cluster/SimulatedCluster.h
@@ -14,7 +14,7 @@
 
 namespace LaburnumChute::Cluster::Testing {
 
-/// What became of one process: its node, and what the node reported.
+/// A simulated process: its node, and the effects that the node reported.
 struct Process
 {
     MemberInfo info;
@@ -23,8 +23,8 @@
     bool reading = false;
     Common::Time readEnds;
     Common::ConfigurationNumber readAfter = 0;
-    /// Datagrams that wait in the socket of a paused process: sender and message.
-    std::vector<std::pair<std::size_t, std::shared_ptr<const GossipMessage>>> socket;
+    /// Datagrams in the socket of a paused process: sender and message.
+    std::vector<std::pair<std::size_t, std::shared_ptr<const GossipMessage>>> unreadDatagrams;
     std::vector<Common::ConfigurationNumber> adopted;
     std::vector<Common::ConfigurationNumber> rejected;
     std::vector<Common::ConfigurationNumber> conflicts;
@@ -34,11 +34,11 @@
     int pauses = 0;
 };
 
-/// Nodes on a lossy network under a virtual clock, beside a configuration service.
-class MessageBus
+/// Simulates nodes on a lossy network with a virtual clock, and a configuration service.
+class SimulatedCluster
 {
 public:
-    explicit MessageBus(std::uint64_t seed, const ClusterOptions &options = {})
+    explicit SimulatedCluster(std::uint64_t seed, const ClusterOptions &options = {})
         : options_(options)
         , random_(seed)
     {
@@ -47,18 +47,20 @@
     double loss = 0;
     Common::milliseconds latencyInRegion{1};
     Common::milliseconds latencyBetweenRegions{55};
-    /// True for datagrams that never arrive; indices of sender and receiver.
-    std::function<bool(std::size_t, std::size_t)> cut = [](std::size_t, std::size_t) {
+    /// Returns true if datagrams from the first process to the second are dropped; arguments are
+    /// indices of sender and receiver.
+    std::function<bool(std::size_t, std::size_t)> isBlocked = [](std::size_t, std::size_t) {
         return false;
     };
-    /// Lines of the platform's list for each other region; fewer spare the memory of a large run.
+    /// Entries of the platform's list for each other region; a lower limit saves memory in large
+    /// runs.
     std::size_t listedOfOtherRegions = ~std::size_t{0};
     bool timerFirst = true;
     bool serviceUp = true;
-    /// A service that gives what it has without regard to the number asked after.
+    /// The service returns its version regardless of the requested number.
     bool serviceIgnoresNumber = false;
     ConfigurationVersion service;
-    /// What the service gives to a process.
+    /// The version that the service returns to a process.
     std::function<ConfigurationVersion(std::size_t)> serviceFor = [this](std::size_t) {
         return service;
     };
@@ -73,7 +75,7 @@
         return now_;
     }
 
-    /// Starts a process in the region, or a replacement without memory under an old index.
+    /// Starts a process in the region, or, with an index, a replacement without any state.
     std::size_t start(const std::string &region, std::optional<std::size_t> index = std::nullopt);
     void kill(std::size_t index)
     {
@@ -84,14 +86,15 @@
         processes[index].paused = true;
     }
     void resume(std::size_t index);
-    /// Gives all processes the platform's list: those that live.
+    /// Sends the platform's list, with all running processes, to each process.
     void publishSeeds();
     void run(Common::Duration duration);
-    /// Runs until the condition holds; the time it took, or nothing after the limit.
+    /// Runs until the condition holds and returns the elapsed time, or nothing if the limit is
+    /// reached.
     std::optional<Common::Duration> runUntil(const std::function<bool()> &condition,
                                              Common::Duration limit);
-    /// Carries out what a node asked for.
-    void perform(std::size_t index, const Effects &effects);
+    /// Carries out the effects returned by a node.
+    void applyEffects(std::size_t index, const Effects &effects);
 
     std::size_t statesSeen(std::size_t subject, MemberState state) const;
     bool allInForce(Common::ConfigurationNumber number) const;
@@ -103,18 +106,18 @@
         std::uint64_t order = 0;
         std::size_t to = 0;
         std::size_t from = 0;
-        /// None: a tick.
+        /// Null for a tick.
         std::shared_ptr<const GossipMessage> message;
-        const ClusterNode *life = nullptr;
+        const ClusterNode *tickedNode = nullptr;
         bool operator<(const Event &other) const
         {
             return std::tie(time, order) > std::tie(other.time, other.order);
         }
     };
 
-    void dispatch(const Event &event);
-    void answerReads(std::size_t index);
-    void act(std::size_t index, const Effect &effect);
+    void handleEvent(const Event &event);
+    void completeReads(std::size_t index);
+    void applyEffect(std::size_t index, const Effect &effect);
     void transmit(std::size_t from, const SendGossip &send);
 
     ClusterOptions options_;
@@ -126,7 +129,8 @@
     std::priority_queue<Event> events_;
 };
 
-inline std::size_t MessageBus::start(const std::string &region, std::optional<std::size_t> index)
+inline std::size_t SimulatedCluster::start(const std::string &region,
+                                           std::optional<std::size_t> index)
 {
     const std::size_t at = index.value_or(processes.size());
     if (!index) {
@@ -150,21 +154,22 @@
     return at;
 }
 
-inline void MessageBus::resume(std::size_t index)
+inline void SimulatedCluster::resume(std::size_t index)
 {
     Process &process = processes[index];
     process.paused = false;
-    // Whether its timer or its socket comes first is not in the hands of a process that wakes.
+    // A resumed process has no control over whether its timer or its socket is handled first.
     if (timerFirst) {
-        perform(index, process.node->tick(now_, wallStart_ + now_.time_since_epoch()));
+        applyEffects(index, process.node->tick(now_, wallStart_ + now_.time_since_epoch()));
     }
-    const auto waiting = std::exchange(process.socket, {});
+    const auto waiting = std::exchange(process.unreadDatagrams, {});
     for (const auto &[from, message] : waiting) {
-        perform(index, process.node->receive(processes[from].info.gossipAddress, *message, now_));
+        applyEffects(index,
+                     process.node->receive(processes[from].info.gossipAddress, *message, now_));
     }
 }
 
-inline void MessageBus::publishSeeds()
+inline void SimulatedCluster::publishSeeds()
 {
     std::map<Common::RegionName, std::vector<Seed>> byRegion;
     for (const Process &process : processes) {
@@ -176,7 +181,7 @@
         }
     }
     std::map<Common::RegionName, std::vector<Seed>> lists;
-    for (const auto &[viewer, own] : byRegion) {
+    for (const auto &[viewer, ownSeeds] : byRegion) {
         for (const auto &[region, listed] : byRegion) {
             const auto count =
                 region == viewer ? listed.size() : std::min(listed.size(), listedOfOtherRegions);
@@ -187,18 +192,18 @@
     for (std::size_t i = 0; i < processes.size(); ++i) {
         if (processes[i].node && !processes[i].paused) {
             const auto &seeds = lists[processes[i].info.region];
-            perform(i, processes[i].node->updateSeeds(seeds, now_));
+            applyEffects(i, processes[i].node->updateSeeds(seeds, now_));
         }
     }
 }
 
-inline void MessageBus::run(Common::Duration duration)
+inline void SimulatedCluster::run(Common::Duration duration)
 {
     runUntil([] { return false; }, duration);
 }
 
-inline std::optional<Common::Duration> MessageBus::runUntil(const std::function<bool()> &condition,
-                                                            Common::Duration limit)
+inline std::optional<Common::Duration>
+SimulatedCluster::runUntil(const std::function<bool()> &condition, Common::Duration limit)
 {
     const Common::Time begin = now_;
     Common::Time nextCheck = now_;
@@ -206,7 +211,7 @@
         const Event event = events_.top();
         events_.pop();
         now_ = event.time;
-        dispatch(event);
+        handleEvent(event);
         if (now_ >= nextCheck) {
             nextCheck = now_ + Common::milliseconds(10);
             if (condition()) {
@@ -218,18 +223,18 @@
     return std::nullopt;
 }
 
-inline void MessageBus::dispatch(const Event &event)
+inline void SimulatedCluster::handleEvent(const Event &event)
 {
     Process &process = processes[event.to];
     if (!event.message) {
-        if (process.node.get() != event.life) {
+        if (process.node.get() != event.tickedNode) {
             return;
         }
-        events_.push(
-            {now_ + options_.tickInterval, ++order_, event.to, event.to, nullptr, event.life});
+        events_.push({now_ + options_.tickInterval, ++order_, event.to, event.to, nullptr,
+                      event.tickedNode});
         if (!process.paused) {
-            perform(event.to, process.node->tick(now_, wallStart_ + now_.time_since_epoch()));
-            answerReads(event.to);
+            applyEffects(event.to, process.node->tick(now_, wallStart_ + now_.time_since_epoch()));
+            completeReads(event.to);
         }
         return;
     }
@@ -237,14 +242,14 @@
         return;
     }
     if (process.paused) {
-        process.socket.emplace_back(event.from, event.message);
+        process.unreadDatagrams.emplace_back(event.from, event.message);
         return;
     }
     const Address from = processes[event.from].info.gossipAddress;
-    perform(event.to, process.node->receive(from, *event.message, now_));
+    applyEffects(event.to, process.node->receive(from, *event.message, now_));
 }
 
-inline void MessageBus::answerReads(std::size_t index)
+inline void SimulatedCluster::completeReads(std::size_t index)
 {
     Process &process = processes[index];
     if (!process.reading) {
@@ -253,25 +258,25 @@
     const ConfigurationVersion version = serviceFor(index);
     if (!serviceUp) {
         process.reading = false;
-        perform(index, process.node->configurationReadFailed(now_));
+        applyEffects(index, process.node->configurationReadFailed(now_));
     } else if (version.number > process.readAfter
                || (serviceIgnoresNumber && version.number != 0)) {
         process.reading = false;
-        perform(index, process.node->configurationRead(version, now_));
+        applyEffects(index, process.node->configurationRead(version, now_));
     } else if (now_ >= process.readEnds) {
         process.reading = false;
-        perform(index, process.node->configurationUnchanged(now_));
+        applyEffects(index, process.node->configurationUnchanged(now_));
     }
 }
 
-inline void MessageBus::perform(std::size_t index, const Effects &effects)
+inline void SimulatedCluster::applyEffects(std::size_t index, const Effects &effects)
 {
     for (const Effect &effect : effects) {
-        act(index, effect);
+        applyEffect(index, effect);
     }
 }
 
-inline void MessageBus::act(std::size_t index, const Effect &effect)
+inline void SimulatedCluster::applyEffect(std::size_t index, const Effect &effect)
 {
     Process &process = processes[index];
     if (const auto *send = std::get_if<SendGossip>(&effect)) {
@@ -279,11 +284,11 @@
     } else if (const auto *changed = std::get_if<MemberChanged>(&effect)) {
         process.changes.push_back(*changed);
     } else if (const auto *validate = std::get_if<ValidateConfiguration>(&effect)) {
-        const bool good = valid({validate->number, validate->content});
-        const Common::Result<void> verdict =
-            good ? Common::Result<void>()
-                 : Common::makeError(Common::ErrorCode::InvalidArgument, "refused");
-        perform(index, process.node->configurationJudged(validate->number, verdict, now_));
+        const bool isValid = valid({validate->number, validate->content});
+        const Common::Result<void> result =
+            isValid ? Common::Result<void>()
+                    : Common::makeError(Common::ErrorCode::InvalidArgument, "refused");
+        applyEffects(index, process.node->configurationValidated(validate->number, result, now_));
     } else if (const auto *adopted = std::get_if<ConfigurationAdopted>(&effect)) {
         process.adopted.push_back(adopted->number);
     } else if (const auto *rejected = std::get_if<ConfigurationRejected>(&effect)) {
@@ -305,21 +310,21 @@
     }
 }
 
-inline void MessageBus::transmit(std::size_t from, const SendGossip &send)
+inline void SimulatedCluster::transmit(std::size_t from, const SendGossip &send)
 {
     largestDatagram = std::max(largestDatagram, encodedSize(send.message));
     const auto to = indexByAddress_.find(send.to);
     const bool lost = std::bernoulli_distribution(loss)(random_);
-    if (to == indexByAddress_.end() || lost || cut(from, to->second)) {
+    if (to == indexByAddress_.end() || lost || isBlocked(from, to->second)) {
         return;
     }
-    const bool near = processes[from].info.region == processes[to->second].info.region;
-    const auto latency = near ? latencyInRegion : latencyBetweenRegions;
+    const bool sameRegion = processes[from].info.region == processes[to->second].info.region;
+    const auto latency = sameRegion ? latencyInRegion : latencyBetweenRegions;
     events_.push({now_ + latency, ++order_, to->second, from,
                   std::make_shared<const GossipMessage>(send.message), nullptr});
 }
 
-inline std::size_t MessageBus::statesSeen(std::size_t subject, MemberState state) const
+inline std::size_t SimulatedCluster::statesSeen(std::size_t subject, MemberState state) const
 {
     std::size_t count = 0;
     for (std::size_t i = 0; i < processes.size(); ++i) {
@@ -331,7 +336,7 @@
     return count;
 }
 
-inline bool MessageBus::allInForce(Common::ConfigurationNumber number) const
+inline bool SimulatedCluster::allInForce(Common::ConfigurationNumber number) const
 {
     for (const Process &process : processes) {
         if (process.node && !process.paused && process.node->configuration().number != number) {
