--- a/Source/Core/Dispatch/Call.h
+++ b/Source/Core/Dispatch/Call.h
@@ -17,7 +17,7 @@
     RegionName region;
     Time sentAt{};
     Duration expected{0};
-    std::int64_t tokensToRead = 0;
+    std::int64_t prefillTokens = 0;
     bool answering = false;
     /// Events of its answer so far, of all tries.
     int events = 0;
--- a/Source/Core/Dispatch/EndpointBook.cpp
+++ b/Source/Core/Dispatch/EndpointBook.cpp
@@ -164,7 +164,7 @@
     return found == remoteByService_.end() ? none : found->second;
 }
 
-void EndpointBook::setShare(const InstanceId &instance, const RegionShare &share, Time now)
+void EndpointBook::setShare(const InstanceId &instance, const RegionLoadReport &share, Time now)
 {
     estimate_.reported(instance, share, now);
     loadIsOld_ = true;
@@ -247,7 +247,7 @@
     }
     auto &state = *found->second;
     const auto &model = engine(state.listed.record.service);
-    state.reading.add(now, model.busyReadTime(notice.tokensToRead));
+    state.reading.add(now, model.busyReadTime(notice.prefillTokens));
     estimate_.noticed(sender, notice.endpoint, now);
     loadIsOld_ = true;
     for (const auto &part : notice.parts) {
@@ -401,9 +401,9 @@
     return estimate_.waitingAtOthers(shortId(name));
 }
 
-RegionShare EndpointBook::share(Time now)
+RegionLoadReport EndpointBook::share(Time now)
 {
-    RegionShare share;
+    RegionLoadReport share;
     for (const auto &[id, state] : endpoints_) {
         state->toldOwn = state->own;
         if (state->own > 0 && share.uses.size() < MaxUses) {
--- a/Source/Core/Dispatch/EndpointBook.h
+++ b/Source/Core/Dispatch/EndpointBook.h
@@ -111,7 +111,7 @@
     /// What endpoints of other regions were sent lately.
     void setRemotePlacements(const std::vector<PartPlacement> &placements);
     /// What another instance of the region has on the endpoints.
-    void setShare(const InstanceId &instance, const RegionShare &share, Time now);
+    void setShare(const InstanceId &instance, const RegionLoadReport &share, Time now);
     /// Forgets the shares of instances that are not in the list.
     void keepShares(const std::vector<InstanceId> &instances);
 
@@ -143,7 +143,7 @@
     /// @param instances live instances of the own region, including this one
     void divideLimits(const InstanceId &self, const std::vector<InstanceId> &instances, Time now);
     /// What is told to the region's other instances now.
-    RegionShare share(Time now);
+    RegionLoadReport share(Time now);
     std::vector<PartPlacement> placementsForElsewhere(Time now) const;
     std::vector<PartPlacement> caches() const;
     void learn(const std::vector<PartPlacement> &placements);
--- a/Source/Core/Dispatch/EndpointHealth.cpp
+++ b/Source/Core/Dispatch/EndpointHealth.cpp
@@ -55,14 +55,14 @@
     endpoint.trial = false;
 }
 
-void EndpointHealth::noteOutcome(EndpointState &endpoint, const Call &call, TryOutcome outcome,
+void EndpointHealth::noteOutcome(EndpointState &endpoint, const Call &call, AttemptOutcome outcome,
                                  Time now)
 {
     const auto *service = book_->service(call.facts.service);
-    const bool good = outcome == TryOutcome::Completed || outcome == TryOutcome::Error
-                      || outcome == TryOutcome::NotRun;
-    if (outcome == TryOutcome::Completed || outcome == TryOutcome::Error) {
-        const double error = outcome == TryOutcome::Error ? 1 : 0;
+    const bool good = outcome == AttemptOutcome::Completed || outcome == AttemptOutcome::Error
+                      || outcome == AttemptOutcome::NotRun;
+    if (outcome == AttemptOutcome::Completed || outcome == AttemptOutcome::Error) {
+        const double error = outcome == AttemptOutcome::Error ? 1 : 0;
         endpoint.errorShare += options_->errorWeight * (error - endpoint.errorShare);
         quarantine_->completed(call.facts.fingerprint, now);
         // What waited for its turn at the endpoint says nothing of the time that a place is held.
@@ -80,18 +80,18 @@
         endpoint.trial = false;
         return;
     }
-    if (outcome == TryOutcome::Cancelled) {
+    if (outcome == AttemptOutcome::Cancelled) {
         endpoint.trial = false;
         return;
     }
     ++endpoint.failures;
-    if (outcome == TryOutcome::Broken) {
+    if (outcome == AttemptOutcome::Broken) {
         endpoint.lost.emplace_back(now, call.facts.fingerprint);
     }
     while (!endpoint.lost.empty() && now - endpoint.lost.front().first > OnBoardTime) {
         endpoint.lost.pop_front();
     }
-    if (outcome == TryOutcome::NotConnected && !endpoint.restsUntil && !endpoint.lost.empty()) {
+    if (outcome == AttemptOutcome::NotConnected && !endpoint.restsUntil && !endpoint.lost.empty()) {
         std::vector<std::uint64_t> onBoard;
         for (const auto &[at, fingerprint] : endpoint.lost) {
             onBoard.push_back(fingerprint);
@@ -100,7 +100,7 @@
         endpoint.lost.clear();
         endpoint.cache.clear();
     }
-    if (outcome == TryOutcome::NotConnected || endpoint.failures >= options_->failuresInRow) {
+    if (outcome == AttemptOutcome::NotConnected || endpoint.failures >= options_->failuresInRow) {
         rest(endpoint, now);
     }
 }
--- a/Source/Core/Dispatch/EndpointHealth.h
+++ b/Source/Core/Dispatch/EndpointHealth.h
@@ -16,7 +16,7 @@
 
     /// @param took from sending the request to its first event
     void noteFirstEvent(EndpointState &endpoint, const Call &call, Duration took);
-    void noteOutcome(EndpointState &endpoint, const Call &call, TryOutcome outcome, Time now);
+    void noteOutcome(EndpointState &endpoint, const Call &call, AttemptOutcome outcome, Time now);
 
 private:
     void rest(EndpointState &endpoint, Time now);
--- a/Source/Core/Dispatch/Facts.h
+++ b/Source/Core/Dispatch/Facts.h
@@ -46,17 +46,17 @@
     std::int64_t promptTokens = 0;
     std::int64_t outputTokens = 0;
     /// The only regions that may serve it; empty allows all.
-    std::vector<RegionName> homes;
+    std::vector<RegionName> allowedRegions;
     /// It came from another region and is not forwarded again.
     bool forwarded = false;
     /// Endpoints on which it may run.
-    int attempts = 1;
+    int maxRuns = 1;
     /// Equal for requests of the same content from the same caller.
     std::uint64_t fingerprint = 0;
 };
 
 /// Why a try on an endpoint or in another region ended.
-enum class TryOutcome {
+enum class AttemptOutcome {
     /// The whole answer came, whatever it says.
     Completed,
     /// Its caller has left.
@@ -73,7 +73,7 @@
     Silent,
 };
 
-std::string_view toString(TryOutcome outcome);
+std::string_view toString(AttemptOutcome outcome);
 
 enum class RejectReason {
     /// It would not be served in the time its caller wants.
@@ -101,7 +101,7 @@
     Duration expected{0};
     // What decided, for the log: tokens of the prompt that the endpoint has to read, and requests
     // that it had of this instance and, as they told it and as is assumed, of the region's others.
-    std::int64_t tokensToRead = 0;
+    std::int64_t prefillTokens = 0;
     int own = 0;
     double others = 0;
     double assumed = 0;
@@ -113,7 +113,7 @@
     CallId call = 0;
     RegionName region;
     /// Endpoints on which it may run there.
-    int attempts = 1;
+    int maxRuns = 1;
 };
 
 /// The request has not run; tell its caller when to come back.
@@ -131,12 +131,12 @@
 };
 
 /// Take the request off its endpoint, which is silent, and report that try as Silent.
-struct TakeBack
+struct CancelAttempt
 {
     CallId call = 0;
 };
 
-using Effect = std::variant<Send, Forward, Reject, Fail, TakeBack>;
+using Effect = std::variant<Send, Forward, Reject, Fail, CancelAttempt>;
 using Effects = std::vector<Effect>;
 
 } // namespace LaburnumChute::Dispatch
--- a/Source/Core/Dispatch/LoadEstimate.cpp
+++ b/Source/Core/Dispatch/LoadEstimate.cpp
@@ -98,7 +98,7 @@
     }
 }
 
-void LoadEstimate::reported(const InstanceId &instance, const RegionShare &share, Time now)
+void LoadEstimate::reported(const InstanceId &instance, const RegionLoadReport &share, Time now)
 {
     auto &report = reports_[instance];
     report.services = share.services;
--- a/Source/Core/Dispatch/LoadEstimate.h
+++ b/Source/Core/Dispatch/LoadEstimate.h
@@ -44,7 +44,7 @@
 class LoadEstimate
 {
 public:
-    void reported(const InstanceId &instance, const RegionShare &share, Time now);
+    void reported(const InstanceId &instance, const RegionLoadReport &share, Time now);
     /// The instance has sent a request there since its last report.
     void noticed(const InstanceId &instance, std::uint32_t endpoint, Time now);
     /// Forgets instances that are not in the list.
--- a/Source/Core/Dispatch/Placement.cpp
+++ b/Source/Core/Dispatch/Placement.cpp
@@ -207,8 +207,8 @@
                 holder.endpoint != nullptr ? options_->copyTime : options_->copyTimeBetweenRegions;
             extraMs += inMilliseconds(options_->copyCost).count();
         }
-        candidate.tokensToRead = std::max<std::int64_t>(0, call.facts.promptTokens - cached);
-        const auto reading = book_->engine(service.name).readTime(candidate.tokensToRead);
+        candidate.prefillTokens = std::max<std::int64_t>(0, call.facts.promptTokens - cached);
+        const auto reading = book_->engine(service.name).readTime(candidate.prefillTokens);
         candidate.wait = engineWait(endpoint, now);
         candidate.expected = options_->firstEventFloor + copying + candidate.wait + reading;
         extraMs += generationCost(endpoint, call, reading, now);
--- a/Source/Core/Dispatch/Placement.h
+++ b/Source/Core/Dispatch/Placement.h
@@ -18,7 +18,7 @@
     Duration expected{0};
     Duration wait{0};
     double cost = 0;
-    std::int64_t tokensToRead = 0;
+    std::int64_t prefillTokens = 0;
     std::optional<std::string> copyFrom;
 };
 
--- a/Source/Core/Dispatch/RegionRooms.cpp
+++ b/Source/Core/Dispatch/RegionRooms.cpp
@@ -23,7 +23,7 @@
 }
 
 void RegionRooms::update(const RegionName &region, const InstanceId &reporter,
-                         const WorldShare &share, Time now)
+                         const CrossRegionLoadReport &share, Time now)
 {
     for (const auto &reported : share.rooms) {
         auto &room = rooms_[{region, reported.service}];
--- a/Source/Core/Dispatch/RegionRooms.h
+++ b/Source/Core/Dispatch/RegionRooms.h
@@ -22,8 +22,8 @@
 public:
     explicit RegionRooms(const DispatchOptions &options);
 
-    void update(const RegionName &region, const InstanceId &reporter, const WorldShare &share,
-                Time now);
+    void update(const RegionName &region, const InstanceId &reporter,
+                const CrossRegionLoadReport &share, Time now);
     /// Regions in which some instance can be reached.
     void setReachable(std::vector<RegionName> regions);
     /// Instances of the own region among which free places are divided.
--- a/Source/Core/Dispatch/Scheduler.cpp
+++ b/Source/Core/Dispatch/Scheduler.cpp
@@ -18,22 +18,22 @@
 
 } // namespace
 
-std::string_view toString(TryOutcome outcome)
+std::string_view toString(AttemptOutcome outcome)
 {
     switch (outcome) {
-    case TryOutcome::Completed:
+    case AttemptOutcome::Completed:
         return "completed";
-    case TryOutcome::Cancelled:
+    case AttemptOutcome::Cancelled:
         return "cancelled";
-    case TryOutcome::NotConnected:
+    case AttemptOutcome::NotConnected:
         return "not connected";
-    case TryOutcome::NotRun:
+    case AttemptOutcome::NotRun:
         return "not run";
-    case TryOutcome::Error:
+    case AttemptOutcome::Error:
         return "error";
-    case TryOutcome::Broken:
+    case AttemptOutcome::Broken:
         return "broken";
-    case TryOutcome::Silent:
+    case AttemptOutcome::Silent:
         return "silent";
     }
     return "unknown";
@@ -114,7 +114,7 @@
     book_.learn(placements);
 }
 
-std::vector<Catalog::EndpointRecord> Scheduler::enginesToAsk() const
+std::vector<Catalog::EndpointRecord> Scheduler::enginesToPoll() const
 {
     std::vector<Catalog::EndpointRecord> records;
     for (const auto &[name, service] : book_.services()) {
@@ -191,7 +191,8 @@
     quarantine_.merge(notices, now);
 }
 
-Effects Scheduler::setRegionShare(const InstanceId &instance, const RegionShare &share, Time now)
+Effects Scheduler::setRegionLoadReport(const InstanceId &instance, const RegionLoadReport &share,
+                                       Time now)
 {
     book_.setShare(instance, share, now);
     mergeSuspects(share.suspects, now);
@@ -223,24 +224,25 @@
                 {parts[index].id, static_cast<std::uint32_t>(parts[index].tokens)});
         }
     }
-    const bool worthTelling = call.tokensToRead >= options_.noticeTokens || !notice.parts.empty();
+    const bool worthTelling = call.prefillTokens >= options_.noticeTokens || !notice.parts.empty();
     if (!worthTelling || instances_.size() < 2) {
         return;
     }
     notice.endpoint = shortId(endpoint.listed.record.id);
-    notice.tokensToRead = static_cast<std::uint32_t>(std::max<std::int64_t>(0, call.tokensToRead));
+    notice.prefillTokens =
+        static_cast<std::uint32_t>(std::max<std::int64_t>(0, call.prefillTokens));
     notices_.push_back(std::move(notice));
 }
 
-void Scheduler::setWorldShare(const RegionName &region, const InstanceId &instance,
-                              const WorldShare &share, Time now)
+void Scheduler::setCrossRegionLoadReport(const RegionName &region, const InstanceId &instance,
+                                         const CrossRegionLoadReport &share, Time now)
 {
     rooms_.update(region, instance, share, now);
     book_.setRemotePlacements(share.placements);
     mergeSuspects(share.suspects, now);
 }
 
-RegionShare Scheduler::regionShare(Time now)
+RegionLoadReport Scheduler::regionLoadReport(Time now)
 {
     auto share = book_.share(now);
     for (const auto &[name, service] : book_.services()) {
@@ -272,11 +274,11 @@
     return share;
 }
 
-WorldShare Scheduler::worldShare(Time now)
+CrossRegionLoadReport Scheduler::crossRegionLoadReport(Time now)
 {
-    WorldShare share;
+    CrossRegionLoadReport share;
     book_.refreshLoad(now);
-    auto own = regionShare(now);
+    auto own = regionLoadReport(now);
     share.suspects = std::move(own.suspects);
     share.placements = book_.placementsForElsewhere(now);
     for (const auto &[name, service] : book_.services()) {
@@ -334,7 +336,7 @@
 
 bool Scheduler::homeAllowed(const CallFacts &facts) const
 {
-    return facts.homes.empty() || contains(facts.homes, home_);
+    return facts.allowedRegions.empty() || contains(facts.allowedRegions, home_);
 }
 
 // Steps of a request.
@@ -363,9 +365,9 @@
     }
     const bool atHome = homeAllowed(facts) && !book_.usable(facts.service).empty();
     if (!atHome) {
-        const auto offer = facts.forwarded
-                               ? std::nullopt
-                               : rooms_.any(facts.service, facts.homes, call.triedRegions, now);
+        const auto offer = facts.forwarded ? std::nullopt
+                                           : rooms_.any(facts.service, facts.allowedRegions,
+                                                        call.triedRegions, now);
         if (!forward(call, offer, now, effects)) {
             reject(call, RejectReason::NoEndpoint, NoEndpointRetryAfter, now, effects);
         }
@@ -398,7 +400,7 @@
     call.region = RegionName();
     call.sentAt = now;
     call.expected = candidate.expected;
-    call.tokensToRead = candidate.tokensToRead;
+    call.prefillTokens = candidate.prefillTokens;
     call.answering = false;
     call.takenBack = false;
     call.aloneAtSend = endpoint.idle();
@@ -408,7 +410,7 @@
     ++endpoint.own;
     book_.sent(call.facts.service, now);
     endpoint.reading.add(now,
-                         book_.engine(call.facts.service).busyReadTime(candidate.tokensToRead));
+                         book_.engine(call.facts.service).busyReadTime(candidate.prefillTokens));
     notice(endpoint, call);
     endpoint.cache.use(call.facts.parts);
     // The last part is the request's own: nobody else asks for it.
@@ -425,7 +427,7 @@
     effect.address = record.address;
     effect.expected = candidate.expected;
     effect.copyCacheFrom = candidate.copyFrom;
-    effect.tokensToRead = candidate.tokensToRead;
+    effect.prefillTokens = candidate.prefillTokens;
     effect.own = endpoint.own - 1;
     effect.others = endpoint.others - endpoint.assumed;
     effect.assumed = endpoint.assumed;
@@ -449,8 +451,8 @@
     call.answering = false;
     call.takenBack = false;
     ++call.tries;
-    const int attemptsLeft = std::max(1, call.facts.attempts - call.runs);
-    effects.push_back(Forward{call.facts.id, offer->region, attemptsLeft});
+    const int runsLeft = std::max(1, call.facts.maxRuns - call.runs);
+    effects.push_back(Forward{call.facts.id, offer->region, runsLeft});
     return true;
 }
 
@@ -460,7 +462,7 @@
     if (facts.forwarded) {
         return false;
     }
-    const auto offer = rooms_.best(facts.service, facts.homes, call.triedRegions, now);
+    const auto offer = rooms_.best(facts.service, facts.allowedRegions, call.triedRegions, now);
     if (!offer) {
         return false;
     }
--- a/Source/Core/Dispatch/Scheduler.h
+++ b/Source/Core/Dispatch/Scheduler.h
@@ -55,21 +55,22 @@
     void learnCaches(const std::vector<PartPlacement> &placements);
     /// Engines of the own region whose memory this instance is to ask about, so that each is asked
     /// by one of the region's instances.
-    std::vector<Catalog::EndpointRecord> enginesToAsk() const;
+    std::vector<Catalog::EndpointRecord> enginesToPoll() const;
     void setBounds(const Catalog::Bounds &bounds);
     /// Live instances of the own region, this one among them, of all regions together, and the
     /// other regions that can be reached.
     void setFleet(const std::vector<InstanceId> &ownRegion, std::size_t allInstances,
                   const std::vector<RegionName> &reachableRegions);
-    Effects setRegionShare(const InstanceId &instance, const RegionShare &share, Time now);
-    void setWorldShare(const RegionName &region, const InstanceId &instance,
-                       const WorldShare &share, Time now);
+    Effects setRegionLoadReport(const InstanceId &instance, const RegionLoadReport &share,
+                                Time now);
+    void setCrossRegionLoadReport(const RegionName &region, const InstanceId &instance,
+                                  const CrossRegionLoadReport &share, Time now);
     /// Long prompts that another instance of the region has just sent.
     void learn(const PromptNotices &notices, Time now);
     /// Long prompts sent since the last call, for the other instances of the region.
     PromptNotices takeNotices();
-    RegionShare regionShare(Time now);
-    WorldShare worldShare(Time now);
+    RegionLoadReport regionLoadReport(Time now);
+    CrossRegionLoadReport crossRegionLoadReport(Time now);
 
     // Requests.
 
@@ -84,7 +85,7 @@
     void progressed(CallId call, int events, Duration pause, Time now);
     /// @param mayGoOn whether another try may follow: false once a part of the answer was passed on
     ///        and cannot be continued
-    Effects ended(CallId call, TryOutcome outcome, bool mayGoOn, Time now);
+    Effects ended(CallId call, AttemptOutcome outcome, bool mayGoOn, Time now);
     void loadSeen(const EndpointId &endpoint, const Dialect::LoadSample &sample, Time now);
     /// @param perSecond rate limit that applies to all instances together; empty if the answer
     ///        stated none
@@ -160,7 +161,7 @@
     void mergeSuspects(const std::vector<SuspectShare> &suspects, Time now);
 
     // What tries tell of endpoints.
-    void leaveEndpoint(Call &call, TryOutcome outcome, Time now);
+    void leaveEndpoint(Call &call, AttemptOutcome outcome, Time now);
 
     DispatchOptions options_;
     InstanceId self_;
--- a/Source/Core/Dispatch/SchedulerTries.cpp
+++ b/Source/Core/Dispatch/SchedulerTries.cpp
@@ -39,7 +39,7 @@
     const auto took = now - call.sentAt;
     // Short prompts may be read before longer ones that came first.
     std::optional<ReadingSpan> busy;
-    if (call.tokensToRead >= options_.noticeTokens) {
+    if (call.prefillTokens >= options_.noticeTokens) {
         busy = endpoint->reading.readUpTo(call.sentAt, now);
     } else {
         endpoint->reading.remove(call.sentAt, now);
@@ -50,7 +50,7 @@
     }
     auto &engine = book_.engine(call.facts.service);
     if (call.aloneAtSend) {
-        engine.sample(call.tokensToRead, took);
+        engine.sample(call.prefillTokens, took);
     } else if (busy) {
         // An engine that is never idle is never seen to read a prompt alone: were its speed not
         // learnt from how prompts follow each other, one slower than expected would be taken to
@@ -75,7 +75,7 @@
     }
 }
 
-void Scheduler::leaveEndpoint(Call &call, TryOutcome outcome, Time now)
+void Scheduler::leaveEndpoint(Call &call, AttemptOutcome outcome, Time now)
 {
     auto *endpoint = book_.find(call.endpoint);
     if (endpoint == nullptr) {
@@ -88,7 +88,7 @@
     health_.noteOutcome(*endpoint, call, outcome, now);
 }
 
-Effects Scheduler::ended(CallId id, TryOutcome outcome, bool mayGoOn, Time now)
+Effects Scheduler::ended(CallId id, AttemptOutcome outcome, bool mayGoOn, Time now)
 {
     Effects effects;
     const auto found = calls_.find(id);
@@ -100,27 +100,27 @@
     if (atEndpoint) {
         leaveEndpoint(call, outcome, now);
     }
-    if (outcome == TryOutcome::Completed && call.facts.kind == RequestKind::Stream) {
+    if (outcome == AttemptOutcome::Completed && call.facts.kind == RequestKind::Stream) {
         book_.engine(call.facts.service).answerSeen(call.facts.outputTokens, call.events);
     }
-    const bool over =
-        call.withdrawn || outcome == TryOutcome::Completed || outcome == TryOutcome::Cancelled;
+    const bool over = call.withdrawn || outcome == AttemptOutcome::Completed
+                      || outcome == AttemptOutcome::Cancelled;
     if (over) {
         calls_.erase(found);
         pump(now, effects);
         return effects;
     }
     auto &budgetOfService = budget(call.facts.service);
-    const bool unsent = outcome == TryOutcome::NotConnected;
-    const bool notRun = unsent || outcome == TryOutcome::NotRun;
+    const bool unsent = outcome == AttemptOutcome::NotConnected;
+    const bool notRun = unsent || outcome == AttemptOutcome::NotRun;
     if (!notRun) {
         // Another instance may have used all tries that the route allows; how many, a broken
         // connection does not tell.
-        call.runs = atEndpoint ? call.runs + 1 : std::max(call.runs + 1, call.facts.attempts);
+        call.runs = atEndpoint ? call.runs + 1 : std::max(call.runs + 1, call.facts.maxRuns);
     }
-    const bool triesLeft = call.tries < call.facts.attempts + SpareTries;
+    const bool triesLeft = call.tries < call.facts.maxRuns + SpareTries;
     const bool allowed =
-        notRun ? triesLeft : call.facts.repeatable && call.runs < call.facts.attempts;
+        notRun ? triesLeft : call.facts.repeatable && call.runs < call.facts.maxRuns;
     const bool again =
         mayGoOn && allowed && now < call.facts.deadline && (unsent || budgetOfService.take(now));
     const auto &usable = book_.usable(call.facts.service);
@@ -152,7 +152,7 @@
         const bool here = !call.endpoint.empty();
         const bool waits = here && !call.queued && !call.answering && !call.takenBack
                            && !call.withdrawn && call.tries > 0;
-        const bool may = waits && call.facts.repeatable && call.runs + 1 < call.facts.attempts;
+        const bool may = waits && call.facts.repeatable && call.runs + 1 < call.facts.maxRuns;
         if (!may) {
             continue;
         }
@@ -160,7 +160,7 @@
                                                  scaled(call.expected, options_.silenceFactor));
         if (now - call.sentAt > patience && budget(call.facts.service).available(now)) {
             call.takenBack = true;
-            effects.push_back(TakeBack{id});
+            effects.push_back(CancelAttempt{id});
         }
     }
 }
--- a/Source/Core/Dispatch/Shares.h
+++ b/Source/Core/Dispatch/Shares.h
@@ -61,14 +61,14 @@
 struct PromptNotice
 {
     std::uint32_t endpoint = 0;
-    std::uint32_t tokensToRead = 0;
+    std::uint32_t prefillTokens = 0;
     std::vector<NoticedPart> parts;
 
     /// For cereal.
     template <typename Archive>
     void serialize(Archive &archive)
     {
-        archive(endpoint, tokensToRead, parts);
+        archive(endpoint, prefillTokens, parts);
     }
 };
 
@@ -135,7 +135,7 @@
 };
 
 /// What an instance tells the others of its region.
-struct RegionShare
+struct RegionLoadReport
 {
     std::vector<EndpointUse> uses;
     std::vector<ServiceWork> services;
@@ -170,7 +170,7 @@
 };
 
 /// What an instance tells those of other regions.
-struct WorldShare
+struct CrossRegionLoadReport
 {
     std::vector<ServiceRoom> rooms;
     std::vector<PartPlacement> placements;
--- a/Source/Core/Relay/RelayKnowledge.cpp
+++ b/Source/Core/Relay/RelayKnowledge.cpp
@@ -155,11 +155,12 @@
         return;
     }
     if (sender.region == settings_.region) {
-        if (const auto share = Peers::decodeValue<Dispatch::RegionShare>(heartbeat.share)) {
-            carryOut(scheduler_.setRegionShare(sender.id, *share, now), now);
+        if (const auto share = Peers::decodeValue<Dispatch::RegionLoadReport>(heartbeat.share)) {
+            carryOut(scheduler_.setRegionLoadReport(sender.id, *share, now), now);
         }
-    } else if (const auto share = Peers::decodeValue<Dispatch::WorldShare>(heartbeat.share)) {
-        scheduler_.setWorldShare(sender.region, sender.id, *share, now);
+    } else if (const auto share =
+                   Peers::decodeValue<Dispatch::CrossRegionLoadReport>(heartbeat.share)) {
+        scheduler_.setCrossRegionLoadReport(sender.region, sender.id, *share, now);
     }
 }
 
@@ -234,8 +235,8 @@
 {
     roster_.setReady(ready());
     roster_.setStoreContact(store_.answerAge(now), store_.settled(now));
-    roster_.setShares(Peers::encodeValue(scheduler_.regionShare(now)),
-                      Peers::encodeValue(scheduler_.worldShare(now)));
+    roster_.setShares(Peers::encodeValue(scheduler_.regionLoadReport(now)),
+                      Peers::encodeValue(scheduler_.crossRegionLoadReport(now)));
     sendAll(roster_.tick(now));
     fleetChanged(now);
 }
--- a/Source/Core/Relay/RelayRequests.cpp
+++ b/Source/Core/Relay/RelayRequests.cpp
@@ -103,8 +103,8 @@
     facts.parts = head->promptParts;
     facts.promptTokens = head->promptTokens;
     facts.outputTokens = head->expectedOutputTokens.value_or(head->maxOutputTokens);
-    facts.homes = route->homes;
-    facts.attempts = std::max(1, route->attempts);
+    facts.allowedRegions = route->homes;
+    facts.maxRuns = std::max(1, route->attempts);
     facts.fingerprint =
         Common::stableHash(*request.body, Common::stableHash(connection->remoteIp() + request.method
                                                              + " " + request.target));
@@ -144,7 +144,7 @@
     facts.promptTokens = head->promptTokens;
     facts.outputTokens = head->expectedOutputTokens.value_or(head->maxOutputTokens);
     facts.forwarded = true;
-    facts.attempts = note->attempts;
+    facts.maxRuns = note->attempts;
     facts.fingerprint = note->fingerprint;
     plan.head = std::move(*head);
     plan.resumable = note->resumable;
@@ -226,7 +226,7 @@
         {
             call->fail(now);
         }
-        void operator()(const Dispatch::TakeBack &) const
+        void operator()(const Dispatch::CancelAttempt &) const
         {
             call->takeBack(now);
         }
--- a/Source/Core/Relay/RelayServers.cpp
+++ b/Source/Core/Relay/RelayServers.cpp
@@ -40,7 +40,7 @@
 void RelayGateway::learnCaches(Common::Time now)
 {
     cachesLearnt_ = true;
-    for (const auto &record : scheduler_.enginesToAsk()) {
+    for (const auto &record : scheduler_.enginesToPoll()) {
         fetch_.get(
             record.address, Platform::cacheListTarget(), CacheTimeout,
             [this, id = record.id](unsigned status, const std::string &body) {
--- a/Source/Core/Relay/RelayedCall.cpp
+++ b/Source/Core/Relay/RelayedCall.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 using Common::milliseconds;
-using Dispatch::TryOutcome;
+using Dispatch::AttemptOutcome;
 
 constexpr unsigned FirstSuccess = 200;
 constexpr unsigned FirstRedirect = 300;
@@ -143,7 +143,7 @@
     callerGone_ = true;
     gateway_.metrics().abandoned.add();
     gateway_.scheduler().withdraw(plan_.facts.id, now);
-    endTry(TryOutcome::Cancelled, false, now);
+    endTry(AttemptOutcome::Cancelled, false, now);
     return true;
 }
 
@@ -171,7 +171,7 @@
         .add("waited", now - plan_.facts.arrivedAt)
         .add("expected", effect.expected)
         .add("prompt_tokens", plan_.facts.promptTokens)
-        .add("tokens_to_read", effect.tokensToRead)
+        .add("tokens_to_read", effect.prefillTokens)
         .add("output_tokens", plan_.facts.outputTokens)
         .add("own_there", static_cast<std::int64_t>(effect.own))
         .add("others_there", static_cast<std::int64_t>(std::lround(effect.others)))
@@ -197,7 +197,7 @@
     gateway_.log().write(line, now);
     if (!peer) {
         lastReason_ = "no instance of " + effect.region.text() + " can be reached";
-        endTry(TryOutcome::NotConnected, true, now);
+        endTry(AttemptOutcome::NotConnected, true, now);
         return;
     }
     gateway_.metrics().forwards.add();
@@ -212,7 +212,7 @@
     note.kind = static_cast<std::uint8_t>(facts.kind);
     note.resumable = plan_.resumable;
     note.priority = facts.priority;
-    note.attempts = effect.attempts;
+    note.attempts = effect.maxRuns;
     note.objectiveLeftMs = inMilliseconds(facts.objectiveAt - now);
     note.objectiveMs = inMilliseconds(facts.objectiveAt - facts.arrivedAt);
     note.deadlineLeftMs = timeLeft(now).count();
@@ -368,11 +368,11 @@
     switch (mode_) {
     case Mode::None:
     case Mode::NotRun:
-        endTry(TryOutcome::NotRun, true, now);
+        endTry(AttemptOutcome::NotRun, true, now);
         return;
     case Mode::Unknown:
         lastReason_ = "the other instance does not know what became of it";
-        endTry(TryOutcome::Broken, !started_ || plan_.resumable, now);
+        endTry(AttemptOutcome::Broken, !started_ || plan_.resumable, now);
         return;
     case Mode::Events: {
         const auto rest = cutter_.takeRest();
@@ -381,7 +381,7 @@
         }
         connection_->endPieces();
         gateway_.metrics().completed.add();
-        endTry(TryOutcome::Completed, false, now);
+        endTry(AttemptOutcome::Completed, false, now);
         finish("completed");
         return;
     }
@@ -391,13 +391,13 @@
     if (kept_.status < FirstServerError && !promisesNotRun(kept_.status)) {
         gateway_.metrics().completed.add();
         answerKept();
-        endTry(TryOutcome::Completed, false, now);
+        endTry(AttemptOutcome::Completed, false, now);
         finish("completed");
         return;
     }
     lastReason_ = fmt::format("the endpoint answered {}", kept_.status);
     spare_ = std::move(kept_);
-    endTry(TryOutcome::Error, !started_ || plan_.resumable, now);
+    endTry(AttemptOutcome::Error, !started_ || plan_.resumable, now);
 }
 
 void RelayedCall::takeFailure(CallFailure failure, const std::string &reason)
@@ -415,13 +415,13 @@
         .add("events_passed", started_);
     gateway_.log().write(line, now);
     if (failure == CallFailure::NotConnected) {
-        endTry(TryOutcome::NotConnected, !started_ || plan_.resumable, now);
+        endTry(AttemptOutcome::NotConnected, !started_ || plan_.resumable, now);
         return;
     }
-    endTry(TryOutcome::Broken, !started_ || plan_.resumable, now);
+    endTry(AttemptOutcome::Broken, !started_ || plan_.resumable, now);
 }
 
-void RelayedCall::endTry(TryOutcome outcome, bool mayGoOn, Common::Time now)
+void RelayedCall::endTry(AttemptOutcome outcome, bool mayGoOn, Common::Time now)
 {
     const auto self = shared_from_this();
     if (call_) {
@@ -445,7 +445,7 @@
         .add("expected", expected_)
         .add("after", now - sentAt_);
     gateway_.log().write(line, now);
-    endTry(TryOutcome::Silent, true, now);
+    endTry(AttemptOutcome::Silent, true, now);
 }
 
 void RelayedCall::answerKept()
@@ -527,7 +527,7 @@
         return;
     }
     if (call_) {
-        endTry(TryOutcome::Cancelled, false, now);
+        endTry(AttemptOutcome::Cancelled, false, now);
     }
     if (!over_) {
         finish("abandoned");
@@ -555,7 +555,7 @@
     }
     gateway_.scheduler().withdraw(plan_.facts.id, now);
     if (call_) {
-        endTry(answering_ ? TryOutcome::Cancelled : TryOutcome::Silent, false, now);
+        endTry(answering_ ? AttemptOutcome::Cancelled : AttemptOutcome::Silent, false, now);
     }
     if (!over_) {
         finish("timed out");
--- a/Source/Core/Relay/RelayedCall.h
+++ b/Source/Core/Relay/RelayedCall.h
@@ -92,7 +92,7 @@
     void passEvents(const std::string &events);
     void takeEnd();
     void takeFailure(CallFailure failure, const std::string &reason);
-    void endTry(Dispatch::TryOutcome outcome, bool mayGoOn, Common::Time now);
+    void endTry(Dispatch::AttemptOutcome outcome, bool mayGoOn, Common::Time now);
     bool isSuccess() const;
     void answerKept();
     void answerOwn(unsigned status, const std::string &detail,
--- a/Source/UnitTests/Dispatch/GenerationTest.cpp
+++ b/Source/UnitTests/Dispatch/GenerationTest.cpp
@@ -17,11 +17,11 @@
 protected:
     void setOthersThere(const std::vector<std::pair<std::string, std::uint16_t>> &running)
     {
-        RegionShare share;
+        RegionLoadReport share;
         for (const auto &[id, count] : running) {
             share.uses.push_back({shortId(EndpointId(id)), count});
         }
-        scheduler_.setRegionShare(InstanceId("two"), share, now_);
+        scheduler_.setRegionLoadReport(InstanceId("two"), share, now_);
     }
 
     /// Has the engine make an answer of ten events with the pause between them.
@@ -41,7 +41,7 @@
             pass(pauseBetween);
             scheduler_.progressed(call.id, 1, pauseBetween, now_);
         }
-        scheduler_.ended(call.id, TryOutcome::Completed, false, now_);
+        scheduler_.ended(call.id, AttemptOutcome::Completed, false, now_);
         scheduler_.setEndpoints(
             {endpoint(engine, Model, ManySlots), endpoint(other, Model, ManySlots)}, {}, now_);
     }
@@ -52,10 +52,10 @@
 TEST_F(GenerationTest, FewRequestsDoNotSendAPromptAwayFromItsPart)
 {
     setEndpoints({endpoint("a", Model, ManySlots), endpoint("b", Model, ManySlots)});
-    RegionShare share;
+    RegionLoadReport share;
     share.uses = {{shortId(EndpointId("a")), 8}};
     share.placements = {{shortId(EndpointId("a")), 1, SharedTokens}};
-    scheduler_.setRegionShare(InstanceId("two"), share, now_);
+    scheduler_.setRegionLoadReport(InstanceId("two"), share, now_);
     auto call = longCall(1);
     call.objectiveAt = now_ + milliseconds(1000);
     EXPECT_EQ(only<Send>(scheduler_.submit(call, now_))->endpoint, EndpointId("a"));
@@ -111,7 +111,7 @@
         });
         for (const auto id : over) {
             scheduler_.answering(id, now_);
-            take(scheduler_.ended(id, TryOutcome::Completed, false, now_));
+            take(scheduler_.ended(id, AttemptOutcome::Completed, false, now_));
         }
         take(scheduler_.tick(now_));
     }
--- a/Source/UnitTests/Dispatch/HerdTest.cpp
+++ b/Source/UnitTests/Dispatch/HerdTest.cpp
@@ -135,19 +135,19 @@
         for (const auto &job : over) {
             const bool inTime = now_ - job.arrivedAt <= objective_ + job.work;
             ++(inTime ? counts_.inTime : counts_.late);
-            carryOut(job.instance, schedulers_[job.instance]->ended(job.call, TryOutcome::Completed,
-                                                                    false, now_));
+            carryOut(job.instance, schedulers_[job.instance]->ended(
+                                       job.call, AttemptOutcome::Completed, false, now_));
         }
     }
 
     void report()
     {
         for (std::size_t from = 0; from < schedulers_.size(); ++from) {
-            const auto share = schedulers_[from]->regionShare(now_);
+            const auto share = schedulers_[from]->regionLoadReport(now_);
             const InstanceId sender("instance-" + std::to_string(from));
             for (std::size_t to = 0; to < schedulers_.size(); ++to) {
                 if (to != from) {
-                    carryOut(to, schedulers_[to]->setRegionShare(sender, share, now_));
+                    carryOut(to, schedulers_[to]->setRegionLoadReport(sender, share, now_));
                 }
             }
         }
--- a/Source/UnitTests/Dispatch/LoadEstimateTest.cpp
+++ b/Source/UnitTests/Dispatch/LoadEstimateTest.cpp
@@ -19,9 +19,9 @@
     return load;
 }
 
-RegionShare share(std::vector<EndpointUse> uses, std::uint16_t sentPerSecond)
+RegionLoadReport share(std::vector<EndpointUse> uses, std::uint16_t sentPerSecond)
 {
-    RegionShare share;
+    RegionLoadReport share;
     share.uses = std::move(uses);
     ServiceWork work;
     work.service = Service;
--- a/Source/UnitTests/Dispatch/LoadTest.cpp
+++ b/Source/UnitTests/Dispatch/LoadTest.cpp
@@ -86,7 +86,7 @@
             });
             for (const auto id : over) {
                 scheduler_.answering(id, now_);
-                take(scheduler_.ended(id, TryOutcome::Completed, false, now_));
+                take(scheduler_.ended(id, AttemptOutcome::Completed, false, now_));
             }
             take(scheduler_.tick(now_));
         }
@@ -155,10 +155,10 @@
 TEST_F(LoadTest, QueuesOfOtherInstancesCount)
 {
     setEndpoints({endpoint("a", Plain, 6)});
-    RegionShare busy;
+    RegionLoadReport busy;
     busy.uses = {{shortId(EndpointId("a")), FullWithQueue}};
     busy.services = {{shortId(ServiceName(Plain)), 200, 12000, 0}};
-    scheduler_.setRegionShare(InstanceId("two"), busy, now_);
+    scheduler_.setRegionLoadReport(InstanceId("two"), busy, now_);
     const auto id = arrive(facts(Plain));
     EXPECT_TRUE(callers_[id].rejected);
     EXPECT_EQ(callers_[id].heardAfter, Duration(0));
@@ -171,14 +171,14 @@
 {
     setEndpoints({endpoint("a", Plain, 6)});
     scheduler_.setFleet({InstanceId("one"), InstanceId("two")}, 2, {});
-    RegionShare busy;
+    RegionLoadReport busy;
     busy.uses = {{shortId(EndpointId("a")), FullWithQueue}};
-    scheduler_.setRegionShare(InstanceId("two"), busy, now_);
+    scheduler_.setRegionLoadReport(InstanceId("two"), busy, now_);
     const auto id = arrive(facts(Plain));
     ASSERT_FALSE(callers_[id].rejected);
     advance(milliseconds(50));
     busy.services = {{shortId(ServiceName(Plain)), 200, 12000, 0}};
-    take(scheduler_.setRegionShare(InstanceId("two"), busy, now_));
+    take(scheduler_.setRegionLoadReport(InstanceId("two"), busy, now_));
     EXPECT_TRUE(callers_[id].rejected);
     EXPECT_LE(callers_[id].heardAfter, Duration(milliseconds(60)));
     EXPECT_GT(callers_[id].retryAfter, Duration(milliseconds(700)));
@@ -191,11 +191,11 @@
     offerAway(Plain, 1000);
     pass(milliseconds(400));
     offerAway(Plain, 1000);
-    RegionShare busy;
+    RegionLoadReport busy;
     busy.uses = {{shortId(EndpointId("a")), FullWithQueue}};
     busy.services = {{shortId(ServiceName(Plain)), 83, 5000, 0}};
     scheduler_.setFleet({InstanceId("one"), InstanceId("two")}, 3, {RegionName("away")});
-    scheduler_.setRegionShare(InstanceId("two"), busy, now_);
+    scheduler_.setRegionLoadReport(InstanceId("two"), busy, now_);
     EXPECT_NE(only<Forward>(scheduler_.submit(facts(Plain), now_)), nullptr);
 }
 
@@ -221,7 +221,7 @@
 {
     setEndpoints({endpoint("a", Plain, 6)});
     scheduler_.setFleet({InstanceId("one")}, 4, {RegionName("away")});
-    WorldShare share;
+    CrossRegionLoadReport share;
     ServiceRoom room;
     room.service = shortId(ServiceName(Plain));
     room.endpoints = 4;
@@ -229,16 +229,16 @@
     room.waitMs = 30;
     share.rooms = {room};
     for (const auto *far : {"far-1", "far-2", "far-3"}) {
-        scheduler_.setWorldShare(RegionName("away"), InstanceId(far), share, now_);
+        scheduler_.setCrossRegionLoadReport(RegionName("away"), InstanceId(far), share, now_);
     }
     pass(milliseconds(500));
     share.rooms.front().endpoints = 0;
     share.rooms.front().freePerSecond = 0;
-    scheduler_.setWorldShare(RegionName("away"), InstanceId("far-1"), share, now_);
-    RegionShare busy;
+    scheduler_.setCrossRegionLoadReport(RegionName("away"), InstanceId("far-1"), share, now_);
+    RegionLoadReport busy;
     busy.uses = {{shortId(EndpointId("a")), FullWithQueue}};
     busy.services = {{shortId(ServiceName(Plain)), 83, 5000, 0}};
-    scheduler_.setRegionShare(InstanceId("two"), busy, now_);
+    scheduler_.setRegionLoadReport(InstanceId("two"), busy, now_);
     EXPECT_EQ(only<Forward>(scheduler_.submit(facts(Plain), now_)), nullptr);
 }
 
@@ -250,7 +250,7 @@
     constexpr int Possible = 200;
     constexpr milliseconds ReportInterval{250};
     setEndpoints({endpoint("a", Plain, 6)});
-    RegionShare busy;
+    RegionLoadReport busy;
     busy.uses = {{shortId(EndpointId("a")), FullWithQueue}};
     busy.services = {{shortId(ServiceName(Plain)), 41, 2500, 0}};
     std::vector<Time> sent;
@@ -265,13 +265,13 @@
             const auto rate = 4 * static_cast<int>(sentWithin(ReportInterval));
             offerAway(Plain, std::max(0, Possible - rate));
             scheduler_.setFleet({InstanceId("one"), InstanceId("two")}, 3, {RegionName("away")});
-            scheduler_.setRegionShare(InstanceId("two"), busy, now_);
+            scheduler_.setRegionLoadReport(InstanceId("two"), busy, now_);
         }
         for (int index = 0; index < 2; ++index) {
             const auto call = facts(Plain);
             if (only<Forward>(scheduler_.submit(call, now_)) != nullptr) {
                 sent.push_back(now_);
-                scheduler_.ended(call.id, TryOutcome::Completed, false, now_);
+                scheduler_.ended(call.id, AttemptOutcome::Completed, false, now_);
             }
         }
         pass(milliseconds(5));
@@ -353,7 +353,7 @@
     pass(milliseconds(300));
     EXPECT_TRUE(scheduler_.tick(now_).empty());
     pass(milliseconds(500));
-    EXPECT_NE(only<TakeBack>(scheduler_.tick(now_)), nullptr);
+    EXPECT_NE(only<CancelAttempt>(scheduler_.tick(now_)), nullptr);
 }
 
 // A request was forwarded, and the instance there takes it off a silent endpoint and sends it to
--- a/Source/UnitTests/Dispatch/ManyInstancesTest.cpp
+++ b/Source/UnitTests/Dispatch/ManyInstancesTest.cpp
@@ -234,7 +234,7 @@
             auto &scheduler = *schedulers_[job.instance];
             scheduler.answering(job.call, now_);
             scheduler.loadSeen(caller.sentTo, loadOf(engine), now_);
-            take(job.instance, scheduler.ended(job.call, TryOutcome::Completed, false, now_));
+            take(job.instance, scheduler.ended(job.call, AttemptOutcome::Completed, false, now_));
         }
         while (!engine.waiting.empty()
                && engine.running() < static_cast<std::size_t>(load_.slots)) {
@@ -284,8 +284,8 @@
             return entry.second.second <= now_;
         });
         for (const auto &job : over) {
-            take(job.instance,
-                 schedulers_[job.instance]->ended(job.call, TryOutcome::Completed, false, now_));
+            take(job.instance, schedulers_[job.instance]->ended(job.call, AttemptOutcome::Completed,
+                                                                false, now_));
         }
     }
 
@@ -333,7 +333,7 @@
                 continue;
             }
             reportAt_[from] += ReportInterval;
-            const auto share = schedulers_[from]->regionShare(now_);
+            const auto share = schedulers_[from]->regionLoadReport(now_);
             std::vector<std::size_t> receivers;
             for (std::size_t to = 0; to < schedulers_.size(); ++to) {
                 if (to != from) {
@@ -343,7 +343,7 @@
             std::shuffle(receivers.begin(), receivers.end(), random_);
             receivers.resize(std::min(receivers.size(), Fanout));
             for (const auto to : receivers) {
-                take(to, schedulers_[to]->setRegionShare(ids_[from], share, now_));
+                take(to, schedulers_[to]->setRegionLoadReport(ids_[from], share, now_));
             }
         }
     }
--- a/Source/UnitTests/Dispatch/PlacementTest.cpp
+++ b/Source/UnitTests/Dispatch/PlacementTest.cpp
@@ -12,7 +12,7 @@
     ASSERT_NE(only<Send>(placed), nullptr);
     const auto holder = only<Send>(placed)->endpoint;
     scheduler_.answering(first.id, now_);
-    scheduler_.ended(first.id, TryOutcome::Completed, false, now_);
+    scheduler_.ended(first.id, AttemptOutcome::Completed, false, now_);
     for (int index = 0; index < 5; ++index) {
         pass(milliseconds(2000));
         const auto next = longCall(1);
@@ -20,7 +20,7 @@
         EXPECT_EQ(only<Send>(effects)->endpoint, holder);
         EXPECT_FALSE(only<Send>(effects)->copyCacheFrom);
         scheduler_.answering(next.id, now_);
-        scheduler_.ended(next.id, TryOutcome::Completed, false, now_);
+        scheduler_.ended(next.id, AttemptOutcome::Completed, false, now_);
     }
 }
 
@@ -46,9 +46,9 @@
 {
     setEndpoints({endpoint("a", Model)});
     scheduler_.setRemoteEndpoints({endpoint("far", Model)});
-    WorldShare share;
+    CrossRegionLoadReport share;
     share.placements = {{shortId(EndpointId("far")), 1, SharedTokens}};
-    scheduler_.setWorldShare(RegionName("away"), InstanceId("two"), share, now_);
+    scheduler_.setCrossRegionLoadReport(RegionName("away"), InstanceId("two"), share, now_);
     const auto effects = scheduler_.submit(longCall(1), now_);
     ASSERT_NE(only<Send>(effects), nullptr);
     EXPECT_EQ(only<Send>(effects)->copyCacheFrom, "far:80");
@@ -57,9 +57,9 @@
 TEST_F(SchedulerTest, WhatAnotherInstancePlacedIsKnownHere)
 {
     setEndpoints({endpoint("a", Model), endpoint("b", Model), endpoint("c", Model)});
-    RegionShare share;
+    RegionLoadReport share;
     share.placements = {{shortId(EndpointId("b")), 1, SharedTokens}};
-    scheduler_.setRegionShare(InstanceId("two"), share, now_);
+    scheduler_.setRegionLoadReport(InstanceId("two"), share, now_);
     const auto effects = scheduler_.submit(longCall(1), now_);
     EXPECT_EQ(only<Send>(effects)->endpoint, EndpointId("b"));
 }
@@ -103,9 +103,9 @@
         scheduler_.learn({InstanceId("two"), {{shortId(EndpointId("a")), 20000, {}}}}, now_);
         pass(milliseconds(600));
     }
-    RegionShare busy;
+    RegionLoadReport busy;
     busy.uses = {{shortId(EndpointId("a")), 7}};
-    scheduler_.setRegionShare(InstanceId("two"), busy, now_);
+    scheduler_.setRegionLoadReport(InstanceId("two"), busy, now_);
     // The other engine has something to read first.
     scheduler_.learn({InstanceId("two"), {{shortId(EndpointId("b")), 8000, {}}}}, now_);
     auto effects = scheduler_.submit(longCall(1), now_);
@@ -136,9 +136,9 @@
         const auto placedThere = other.submit(there, now_);
         EXPECT_EQ(only<Send>(placedHere)->endpoint, only<Send>(placedThere)->endpoint);
         scheduler_.answering(here.id, now_);
-        scheduler_.ended(here.id, TryOutcome::Completed, false, now_);
+        scheduler_.ended(here.id, AttemptOutcome::Completed, false, now_);
         other.answering(there.id, now_);
-        other.ended(there.id, TryOutcome::Completed, false, now_);
+        other.ended(there.id, AttemptOutcome::Completed, false, now_);
         pass(milliseconds(1000));
     }
 }
@@ -195,9 +195,9 @@
         auto effects = scheduler_.submit(call, now_);
         while (only<Send>(effects) != nullptr && only<Send>(effects)->endpoint == EndpointId("a")) {
             ++failures;
-            effects = scheduler_.ended(call.id, TryOutcome::NotConnected, true, now_);
+            effects = scheduler_.ended(call.id, AttemptOutcome::NotConnected, true, now_);
         }
-        scheduler_.ended(call.id, TryOutcome::Completed, false, now_);
+        scheduler_.ended(call.id, AttemptOutcome::Completed, false, now_);
         pass(milliseconds(20));
     }
     EXPECT_LE(failures, 4);
@@ -209,12 +209,12 @@
     setEndpoints({endpoint("a", Plain)});
     const auto first = facts(Plain);
     scheduler_.submit(first, now_);
-    scheduler_.ended(first.id, TryOutcome::NotConnected, true, now_);
+    scheduler_.ended(first.id, AttemptOutcome::NotConnected, true, now_);
     pass(milliseconds(300));
     const auto trial = facts(Plain);
     ASSERT_NE(only<Send>(scheduler_.submit(trial, now_)), nullptr);
     EXPECT_EQ(only<Send>(scheduler_.submit(facts(Plain), now_)), nullptr);
-    const auto effects = scheduler_.ended(trial.id, TryOutcome::Completed, false, now_);
+    const auto effects = scheduler_.ended(trial.id, AttemptOutcome::Completed, false, now_);
     EXPECT_NE(only<Send>(effects), nullptr);
 }
 
@@ -223,10 +223,10 @@
     setEndpoints({endpoint("a", Plain)});
     offerAway(Plain, 100);
     auto elsewhere = facts(Plain);
-    elsewhere.homes = {RegionName("third")};
+    elsewhere.allowedRegions = {RegionName("third")};
     EXPECT_NE(only<Reject>(scheduler_.submit(elsewhere, now_)), nullptr);
     auto away = facts(Plain);
-    away.homes = {RegionName("away")};
+    away.allowedRegions = {RegionName("away")};
     EXPECT_NE(only<Forward>(scheduler_.submit(away, now_)), nullptr);
 }
 
@@ -255,7 +255,7 @@
     for (int attempt = 0; attempt < 8; ++attempt) {
         auto poison = facts(Plain);
         poison.fingerprint = 4711;
-        poison.attempts = 1;
+        poison.maxRuns = 1;
         const auto effects = scheduler_.submit(poison, now_);
         const auto *send = only<Send>(effects);
         if (send == nullptr) {
@@ -266,16 +266,16 @@
         }
         ++crashes;
         const auto crashed = send->endpoint;
-        scheduler_.ended(poison.id, TryOutcome::Broken, false, now_);
+        scheduler_.ended(poison.id, AttemptOutcome::Broken, false, now_);
         // Other requests find the port closed.
         for (int probe = 0; probe < 12; ++probe) {
             auto innocent = facts(Plain);
             auto tried = scheduler_.submit(innocent, now_);
             while (only<Send>(tried) != nullptr) {
                 const bool dead = only<Send>(tried)->endpoint == crashed;
-                tried = scheduler_.ended(innocent.id,
-                                         dead ? TryOutcome::NotConnected : TryOutcome::Completed,
-                                         true, now_);
+                tried = scheduler_.ended(
+                    innocent.id, dead ? AttemptOutcome::NotConnected : AttemptOutcome::Completed,
+                    true, now_);
             }
         }
         // The crashed endpoint comes back as a new life under its id.
--- a/Source/UnitTests/Dispatch/RateLimitTest.cpp
+++ b/Source/UnitTests/Dispatch/RateLimitTest.cpp
@@ -183,7 +183,7 @@
             auto &scheduler = *schedulers_[run.instance];
             scheduler.limitSeen(run.endpoint, limits_.at(run.endpoint), now_);
             scheduler.answering(run.call, now_);
-            take(run.instance, scheduler.ended(run.call, TryOutcome::Completed, false, now_));
+            take(run.instance, scheduler.ended(run.call, AttemptOutcome::Completed, false, now_));
         }
     }
 
@@ -194,7 +194,7 @@
                 continue;
             }
             reportAt_[from] += ReportInterval;
-            const auto share = schedulers_[from]->regionShare(now_);
+            const auto share = schedulers_[from]->regionLoadReport(now_);
             std::vector<std::size_t> receivers;
             for (std::size_t to = 0; to < schedulers_.size(); ++to) {
                 if (to != from) {
@@ -204,7 +204,7 @@
             std::shuffle(receivers.begin(), receivers.end(), random_);
             receivers.resize(std::min(receivers.size(), Fanout));
             for (const auto to : receivers) {
-                take(to, schedulers_[to]->setRegionShare(ids_[from], share, now_));
+                take(to, schedulers_[to]->setRegionLoadReport(ids_[from], share, now_));
             }
         }
     }
@@ -302,9 +302,9 @@
     EXPECT_EQ(only<Send>(scheduler_.submit(facts(Plain), now_)), nullptr);
     pass(milliseconds(500));
     EXPECT_TRUE(scheduler_.limitSeen(EndpointId("a"), std::nullopt, now_));
-    RegionShare old;
+    RegionLoadReport old;
     old.limits = {{shortId(EndpointId("a")), true, 0.3, 400}};
-    scheduler_.setRegionShare(InstanceId("two"), old, now_);
+    scheduler_.setRegionLoadReport(InstanceId("two"), old, now_);
     EXPECT_NE(only<Send>(scheduler_.submit(facts(Plain), now_)), nullptr);
 }
 
@@ -313,24 +313,24 @@
 {
     setEndpoints({endpoint("a", Plain), endpoint("b", Plain)});
     scheduler_.limitSeen(EndpointId("a"), std::nullopt, now_);
-    EXPECT_TRUE(scheduler_.regionShare(now_).limits.empty());
+    EXPECT_TRUE(scheduler_.regionLoadReport(now_).limits.empty());
     pass(milliseconds(100));
     scheduler_.limitSeen(EndpointId("a"), 4.0, now_);
-    EXPECT_EQ(scheduler_.regionShare(now_).limits.size(), 1U);
+    EXPECT_EQ(scheduler_.regionLoadReport(now_).limits.size(), 1U);
     pass(milliseconds(100));
     scheduler_.limitSeen(EndpointId("a"), std::nullopt, now_);
-    EXPECT_FALSE(scheduler_.regionShare(now_).limits.at(0).limited);
+    EXPECT_FALSE(scheduler_.regionLoadReport(now_).limits.at(0).limited);
     pass(milliseconds(5000));
-    EXPECT_TRUE(scheduler_.regionShare(now_).limits.empty());
+    EXPECT_TRUE(scheduler_.regionLoadReport(now_).limits.empty());
 }
 
 // Guards against a peer's report being ignored until the endpoint itself has answered.
 TEST_F(SchedulerTest, LimitReportedByAPeerIsEnforced)
 {
     setEndpoints({endpoint("a", Plain)});
-    RegionShare share;
+    RegionLoadReport share;
     share.limits = {{shortId(EndpointId("a")), true, 0.3, 10}};
-    scheduler_.setRegionShare(InstanceId("two"), share, now_);
+    scheduler_.setRegionLoadReport(InstanceId("two"), share, now_);
     const auto effects = scheduler_.submit(facts(Plain), now_);
     const auto *reject = only<Reject>(effects);
     ASSERT_NE(reject, nullptr);
--- a/Source/UnitTests/Dispatch/RetryTest.cpp
+++ b/Source/UnitTests/Dispatch/RetryTest.cpp
@@ -9,12 +9,12 @@
 {
     setEndpoints({endpoint("a", Plain)});
     auto call = facts(Plain);
-    call.homes = {RegionName("away")};
+    call.allowedRegions = {RegionName("away")};
     offerAway(Plain, 10);
     const auto sent = scheduler_.submit(call, now_);
     ASSERT_NE(only<Forward>(sent), nullptr);
-    call.homes.clear();
-    const auto effects = scheduler_.ended(call.id, TryOutcome::Error, true, now_);
+    call.allowedRegions.clear();
+    const auto effects = scheduler_.ended(call.id, AttemptOutcome::Error, true, now_);
     EXPECT_NE(only<Fail>(effects), nullptr);
 }
 
@@ -27,10 +27,10 @@
     offerAway(Plain, 10);
     ASSERT_NE(only<Send>(scheduler_.submit(call, now_)), nullptr);
     scheduler_.setEndpoints({}, {}, now_);
-    const auto effects = scheduler_.ended(call.id, TryOutcome::Error, true, now_);
+    const auto effects = scheduler_.ended(call.id, AttemptOutcome::Error, true, now_);
     const auto *forward = only<Forward>(effects);
     ASSERT_NE(forward, nullptr);
-    EXPECT_EQ(forward->attempts, call.attempts - 1);
+    EXPECT_EQ(forward->maxRuns, call.maxRuns - 1);
 }
 
 // An endpoint answers a lookup with an error of its own. The caller would see a failure although a
@@ -41,10 +41,10 @@
     const auto call = facts(Plain);
     const auto first = scheduler_.submit(call, now_);
     ASSERT_NE(only<Send>(first), nullptr);
-    const auto second = scheduler_.ended(call.id, TryOutcome::Error, true, now_);
+    const auto second = scheduler_.ended(call.id, AttemptOutcome::Error, true, now_);
     ASSERT_NE(only<Send>(second), nullptr);
     EXPECT_NE(only<Send>(first)->endpoint, only<Send>(second)->endpoint);
-    EXPECT_NE(only<Fail>(scheduler_.ended(call.id, TryOutcome::Error, true, now_)), nullptr);
+    EXPECT_NE(only<Fail>(scheduler_.ended(call.id, AttemptOutcome::Error, true, now_)), nullptr);
 }
 
 // The connection breaks under an order. It may have run; a second run would be a second order.
@@ -53,7 +53,7 @@
     setEndpoints({endpoint("a", Plain), endpoint("b", Plain)});
     const auto call = facts(Plain, RequestKind::AtMostOnce);
     scheduler_.submit(call, now_);
-    EXPECT_NE(only<Fail>(scheduler_.ended(call.id, TryOutcome::Broken, true, now_)), nullptr);
+    EXPECT_NE(only<Fail>(scheduler_.ended(call.id, AttemptOutcome::Broken, true, now_)), nullptr);
 }
 
 // The endpoint's port is closed, so that nothing was sent: another endpoint may have the order.
@@ -62,7 +62,7 @@
     setEndpoints({endpoint("a", Plain), endpoint("b", Plain)});
     const auto call = facts(Plain, RequestKind::AtMostOnce);
     const auto first = scheduler_.submit(call, now_);
-    const auto second = scheduler_.ended(call.id, TryOutcome::NotConnected, true, now_);
+    const auto second = scheduler_.ended(call.id, AttemptOutcome::NotConnected, true, now_);
     ASSERT_NE(only<Send>(second), nullptr);
     EXPECT_NE(only<Send>(first)->endpoint, only<Send>(second)->endpoint);
 }
@@ -74,7 +74,7 @@
     setEndpoints({endpoint("a", Plain)});
     const auto call = facts(Plain, RequestKind::AtMostOnce);
     scheduler_.submit(call, now_);
-    const auto effects = scheduler_.ended(call.id, TryOutcome::NotRun, true, now_);
+    const auto effects = scheduler_.ended(call.id, AttemptOutcome::NotRun, true, now_);
     const auto *reject = only<Reject>(effects);
     ASSERT_NE(reject, nullptr);
     EXPECT_GT(reject->retryAfter, Duration(0));
@@ -87,7 +87,7 @@
     const auto call = facts(Plain);
     scheduler_.submit(call, now_);
     scheduler_.setEndpoints({}, {}, now_);
-    const auto effects = scheduler_.ended(call.id, TryOutcome::Broken, true, now_);
+    const auto effects = scheduler_.ended(call.id, AttemptOutcome::Broken, true, now_);
     EXPECT_NE(only<Fail>(effects), nullptr);
 }
 
@@ -105,10 +105,10 @@
     for (int index = 0; index < Requests; ++index) {
         const auto call = facts(Plain);
         scheduler_.submit(call, now_);
-        const auto effects = scheduler_.ended(call.id, TryOutcome::Error, true, now_);
+        const auto effects = scheduler_.ended(call.id, AttemptOutcome::Error, true, now_);
         if (only<Send>(effects) != nullptr) {
             ++retries;
-            scheduler_.ended(call.id, TryOutcome::Completed, true, now_);
+            scheduler_.ended(call.id, AttemptOutcome::Completed, true, now_);
         }
         pass(milliseconds(10));
     }
@@ -129,7 +129,7 @@
     const auto other = first == EndpointId("a") ? EndpointId("b") : EndpointId("a");
     pass(milliseconds(1000));
     scheduler_.learn({InstanceId("two"), {{shortId(other), 4000, {}}}}, now_);
-    const auto next = scheduler_.ended(call.id, TryOutcome::Broken, true, now_);
+    const auto next = scheduler_.ended(call.id, AttemptOutcome::Broken, true, now_);
     ASSERT_NE(only<Send>(next), nullptr);
     EXPECT_EQ(only<Send>(next)->endpoint, other);
 }
@@ -148,7 +148,7 @@
     leaving.leaving = true;
     setEndpoints({leaving, endpoint("b", Plain)});
     EXPECT_FALSE(scheduler_.maySend(call.id));
-    const auto effects = scheduler_.ended(call.id, TryOutcome::NotConnected, true, now_);
+    const auto effects = scheduler_.ended(call.id, AttemptOutcome::NotConnected, true, now_);
     const auto *again = only<Send>(effects);
     ASSERT_NE(again, nullptr);
     EXPECT_EQ(again->endpoint, EndpointId("b"));
--- a/Source/UnitTests/Dispatch/Support.h
+++ b/Source/UnitTests/Dispatch/Support.h
@@ -64,7 +64,7 @@
         facts.arrivedAt = now_;
         facts.objectiveAt = now_ + milliseconds(800);
         facts.deadline = now_ + seconds(8);
-        facts.attempts = 2;
+        facts.maxRuns = 2;
         facts.fingerprint = facts.id;
         return facts;
     }
@@ -89,14 +89,14 @@
     void offerAway(const char *service, int perSecond)
     {
         scheduler_.setFleet({InstanceId("one")}, 2, {RegionName("away")});
-        WorldShare share;
+        CrossRegionLoadReport share;
         ServiceRoom room;
         room.service = shortId(ServiceName(service));
         room.endpoints = 4;
         room.freePerSecond = static_cast<std::uint32_t>(perSecond);
         room.waitMs = 30;
         share.rooms = {room};
-        scheduler_.setWorldShare(RegionName("away"), InstanceId("far"), share, now_);
+        scheduler_.setCrossRegionLoadReport(RegionName("away"), InstanceId("far"), share, now_);
     }
 
     void pass(milliseconds time)
--- a/Source/UnitTests/Dispatch/UnlikeEnginesTest.cpp
+++ b/Source/UnitTests/Dispatch/UnlikeEnginesTest.cpp
@@ -148,7 +148,7 @@
         }
         for (const auto id : over) {
             engine.answering.erase(id);
-            take(scheduler_.ended(id, TryOutcome::Completed, false, now_));
+            take(scheduler_.ended(id, AttemptOutcome::Completed, false, now_));
         }
     }
 
--- a/Source/UnitTests/Relay/PeerMessagesTest.cpp
+++ b/Source/UnitTests/Relay/PeerMessagesTest.cpp
@@ -48,7 +48,7 @@
     const auto *same = std::get_if<Dispatch::PromptNotices>(&*read);
     ASSERT_NE(same, nullptr);
     ASSERT_EQ(same->prompts.size(), 1U);
-    EXPECT_EQ(same->prompts[0].tokensToRead, 4100U);
+    EXPECT_EQ(same->prompts[0].prefillTokens, 4100U);
     EXPECT_EQ(same->prompts[0].parts[0].tokens, 13000U);
 }
 
