--- a/Source/Core/Dispatch/Call.h
+++ b/Source/Core/Dispatch/Call.h
@@ -6,32 +6,33 @@
 
 namespace LaburnumChute::Dispatch {
 
-/// A request that the scheduler has taken and that has not ended.
+/// A request that was submitted to the scheduler and has not ended.
 struct Call
 {
     CallFacts facts;
     bool queued = false;
     bool withdrawn = false;
-    /// Where it is now.
+    /// Where the current attempt runs; the endpoint is empty if the request was forwarded to a
+    /// region.
     EndpointId endpoint;
     RegionName region;
     Time sentAt{};
     Duration expected{0};
     std::int64_t prefillTokens = 0;
     bool answering = false;
-    /// Events of its answer so far, of all tries.
+    /// Events of its answer so far, over all attempts.
     int events = 0;
-    bool takenBack = false;
-    /// The endpoint had a free place as it was sent.
-    bool placeFreeAtSend = false;
-    /// The engine had nothing else to read as it was sent.
-    bool aloneAtSend = false;
-    /// Tries after which it may have run.
+    bool attemptCancelled = false;
+    /// The endpoint had a free slot when the request was sent.
+    bool slotFreeAtSend = false;
+    /// The endpoint was idle when the request was sent, so that prefill started at once.
+    bool idleAtSend = false;
+    /// Attempts that may have run the request.
     int runs = 0;
-    /// Tries of any outcome.
-    int tries = 0;
-    std::vector<EndpointId> tried;
-    std::vector<RegionName> triedRegions;
+    /// Attempts with any outcome.
+    int attempts = 0;
+    std::vector<EndpointId> attemptedEndpoints;
+    std::vector<RegionName> attemptedRegions;
 };
 
 } // namespace LaburnumChute::Dispatch
--- a/Source/Core/Dispatch/ColdGate.cpp
+++ b/Source/Core/Dispatch/ColdRateLimit.cpp
@@ -1,4 +1,4 @@
-#include "Dispatch/ColdGate.h"
+#include "Dispatch/ColdRateLimit.h"
 
 #include <algorithm>
 #include <cmath>
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// The span of the bound, with a margin for sends that arrive at different speeds.
+/// The one second that the limit applies to, plus a margin for varying network delays.
 constexpr milliseconds Window{1100};
 
 } // namespace
 
-int ColdGate::quota(double bound, const EndpointId &endpoint, const InstanceId &self,
-                    const std::vector<InstanceId> &instances)
+int ColdRateLimit::quota(double bound, const EndpointId &endpoint, const InstanceId &self,
+                         const std::vector<InstanceId> &instances)
 {
     const auto total = static_cast<std::size_t>(std::max(1.0, std::floor(bound)));
     const auto count = std::max<std::size_t>(1, instances.size());
@@ -25,14 +25,14 @@
     return rendezvousRank(endpoint, self, instances) < total ? 1 : 0;
 }
 
-bool ColdGate::allows(int quota, Time now) const
+bool ColdRateLimit::allows(int quota, Time now) const
 {
     const auto recent = std::count_if(sends_.begin(), sends_.end(),
                                       [&](Time sent) { return now - sent <= Window; });
     return recent < quota;
 }
 
-void ColdGate::sent(Time now)
+void ColdRateLimit::sent(Time now)
 {
     sends_.push_back(now);
     while (now - sends_.front() > Window) {
--- a/Source/Core/Dispatch/EndpointHealth.cpp
+++ b/Source/Core/Dispatch/EndpointHealth.cpp
@@ -10,17 +10,17 @@
 
 /// Weight of one answer in an endpoint's averages.
 constexpr double AverageWeight = 0.1;
-/// Bounds of what is believed of an endpoint: twice as fast as expected, six times as slow. Beyond
-/// them it is not its speed that makes the difference.
+/// Bounds of an endpoint's slowness: twice as fast as expected and six times slower. A larger
+/// difference has other causes than the endpoint's speed.
 constexpr double SlownessMin = 0.5;
 constexpr double SlownessMax = 6;
-/// Requests whose connection broke within this time of an endpoint's end were on board.
-constexpr seconds OnBoardTime{3};
-/// An endpoint that rested this long may have been restarted meanwhile.
-constexpr milliseconds RestartRest{1000};
+/// Requests whose connection broke within this time before an endpoint crashed are suspected.
+constexpr seconds CrashWindow{3};
+/// An endpoint that was ejected for this long may have been restarted in the meantime.
+constexpr milliseconds RestartEjectionTime{1000};
 
-/// One life of an endpoint: a crashed one often comes back under its id.
-EndpointId lifeOf(const EndpointState &endpoint)
+/// Identifies one run of an endpoint process: a crashed endpoint often returns under its old id.
+EndpointId incarnationOf(const EndpointState &endpoint)
 {
     const auto &record = endpoint.listed.record;
     return EndpointId(fmt::format("{}@{}", record.id, record.startedAt));
@@ -28,15 +28,15 @@
 
 } // namespace
 
-EndpointHealth::EndpointHealth(const DispatchOptions &options, const EndpointBook &book,
+EndpointHealth::EndpointHealth(const DispatchOptions &options, const EndpointTable &table,
                                Decisions::Quarantine &quarantine)
     : options_(&options)
-    , book_(&book)
+    , table_(&table)
     , quarantine_(&quarantine)
 {
 }
 
-void EndpointHealth::noteFirstEvent(EndpointState &endpoint, const Call &call, Duration took)
+void EndpointHealth::recordFirstEvent(EndpointState &endpoint, const Call &call, Duration took)
 {
     constexpr double RatioMin = 0.3;
     constexpr double RatioMax = 3;
@@ -47,61 +47,65 @@
         std::clamp(endpoint.slowness * (1 + AverageWeight * (ratio - 1)), SlownessMin, SlownessMax);
 }
 
-void EndpointHealth::rest(EndpointState &endpoint, Time now)
+void EndpointHealth::eject(EndpointState &endpoint, Time now)
 {
-    const auto doubled = std::max<Duration>(options_->restFirst, endpoint.rest * 2);
-    endpoint.rest = std::min<Duration>(doubled, options_->restMax);
-    endpoint.restsUntil = now + endpoint.rest;
-    endpoint.trial = false;
+    const auto doubled = std::max<Duration>(options_->firstEjection, endpoint.ejectionTime * 2);
+    endpoint.ejectionTime = std::min<Duration>(doubled, options_->maxEjection);
+    endpoint.ejectedUntil = now + endpoint.ejectionTime;
+    endpoint.probing = false;
 }
 
-void EndpointHealth::noteOutcome(EndpointState &endpoint, const Call &call, AttemptOutcome outcome,
-                                 Time now)
+void EndpointHealth::recordOutcome(EndpointState &endpoint, const Call &call,
+                                   AttemptOutcome outcome, Time now)
 {
-    const auto *service = book_->service(call.facts.service);
+    const auto *service = table_->service(call.facts.service);
     const bool good = outcome == AttemptOutcome::Completed || outcome == AttemptOutcome::Error
                       || outcome == AttemptOutcome::NotRun;
     if (outcome == AttemptOutcome::Completed || outcome == AttemptOutcome::Error) {
         const double error = outcome == AttemptOutcome::Error ? 1 : 0;
-        endpoint.errorShare += options_->errorWeight * (error - endpoint.errorShare);
+        endpoint.errorRate += options_->errorWeight * (error - endpoint.errorRate);
         quarantine_->completed(call.facts.fingerprint, now);
-        // What waited for its turn at the endpoint says nothing of the time that a place is held.
-        if (service != nullptr && call.placeFreeAtSend) {
-            endpoint.hold += scaled(now - call.sentAt - endpoint.hold, AverageWeight);
+        // A request that waited in the endpoint's queue does not show how long a slot is held.
+        if (service != nullptr && call.slotFreeAtSend) {
+            endpoint.holdTime += scaled(now - call.sentAt - endpoint.holdTime, AverageWeight);
         }
     }
     if (good) {
-        endpoint.failures = 0;
-        if (endpoint.restsUntil && endpoint.rest >= RestartRest && service != nullptr) {
+        endpoint.consecutiveFailures = 0;
+        if (endpoint.ejectedUntil && endpoint.ejectionTime >= RestartEjectionTime
+            && service != nullptr) {
             endpoint.coldUntil = std::max(endpoint.coldUntil, now + service->coldTime);
         }
-        endpoint.restsUntil.reset();
-        endpoint.rest = Duration(0);
-        endpoint.trial = false;
+        endpoint.ejectedUntil.reset();
+        endpoint.ejectionTime = Duration(0);
+        endpoint.probing = false;
         return;
     }
     if (outcome == AttemptOutcome::Cancelled) {
-        endpoint.trial = false;
+        endpoint.probing = false;
         return;
     }
-    ++endpoint.failures;
+    ++endpoint.consecutiveFailures;
     if (outcome == AttemptOutcome::Broken) {
-        endpoint.lost.emplace_back(now, call.facts.fingerprint);
+        endpoint.brokenCalls.emplace_back(now, call.facts.fingerprint);
     }
-    while (!endpoint.lost.empty() && now - endpoint.lost.front().first > OnBoardTime) {
-        endpoint.lost.pop_front();
+    while (!endpoint.brokenCalls.empty()
+           && now - endpoint.brokenCalls.front().first > CrashWindow) {
+        endpoint.brokenCalls.pop_front();
     }
-    if (outcome == AttemptOutcome::NotConnected && !endpoint.restsUntil && !endpoint.lost.empty()) {
-        std::vector<std::uint64_t> onBoard;
-        for (const auto &[at, fingerprint] : endpoint.lost) {
-            onBoard.push_back(fingerprint);
+    if (outcome == AttemptOutcome::NotConnected && !endpoint.ejectedUntil
+        && !endpoint.brokenCalls.empty()) {
+        std::vector<std::uint64_t> suspects;
+        for (const auto &[at, fingerprint] : endpoint.brokenCalls) {
+            suspects.push_back(fingerprint);
         }
-        quarantine_->endpointDied(lifeOf(endpoint), onBoard, now);
-        endpoint.lost.clear();
+        quarantine_->endpointDied(incarnationOf(endpoint), suspects, now);
+        endpoint.brokenCalls.clear();
         endpoint.cache.clear();
     }
-    if (outcome == AttemptOutcome::NotConnected || endpoint.failures >= options_->failuresInRow) {
-        rest(endpoint, now);
+    if (outcome == AttemptOutcome::NotConnected
+        || endpoint.consecutiveFailures >= options_->consecutiveFailures) {
+        eject(endpoint, now);
     }
 }
 
--- a/Source/Core/Dispatch/EndpointHealth.h
+++ b/Source/Core/Dispatch/EndpointHealth.h
@@ -2,27 +2,27 @@
 
 #include "Decisions/Decisions.h"
 #include "Dispatch/Call.h"
-#include "Dispatch/EndpointBook.h"
+#include "Dispatch/EndpointTable.h"
 
 namespace LaburnumChute::Dispatch {
 
-/// What the ends of tries tell of endpoints: which fail, which rest, and which requests took them
-/// down.
+/// Evaluates the outcomes of attempts: which endpoints fail, which are ejected, and which requests
+/// crashed them.
 class EndpointHealth
 {
 public:
-    EndpointHealth(const DispatchOptions &options, const EndpointBook &book,
+    EndpointHealth(const DispatchOptions &options, const EndpointTable &table,
                    Decisions::Quarantine &quarantine);
 
-    /// @param took from sending the request to its first event
-    void noteFirstEvent(EndpointState &endpoint, const Call &call, Duration took);
-    void noteOutcome(EndpointState &endpoint, const Call &call, AttemptOutcome outcome, Time now);
+    /// @param took time from sending the request to its first event
+    void recordFirstEvent(EndpointState &endpoint, const Call &call, Duration took);
+    void recordOutcome(EndpointState &endpoint, const Call &call, AttemptOutcome outcome, Time now);
 
 private:
-    void rest(EndpointState &endpoint, Time now);
+    void eject(EndpointState &endpoint, Time now);
 
     const DispatchOptions *options_;
-    const EndpointBook *book_;
+    const EndpointTable *table_;
     Decisions::Quarantine *quarantine_;
 };
 
--- a/Source/Core/Dispatch/EndpointBook.cpp
+++ b/Source/Core/Dispatch/EndpointTable.cpp
@@ -1,4 +1,4 @@
-#include "Dispatch/EndpointBook.h"
+#include "Dispatch/EndpointTable.h"
 
 #include <algorithm>
 #include <cmath>
@@ -7,26 +7,27 @@
 
 namespace {
 
-/// Placements travel with every heartbeat for this long, so that a lost one does no harm: within
-/// the region, where everyone hears everyone four times a second, and to other regions, where each
-/// heartbeat goes to a few instances only.
+/// Placements are repeated in every heartbeat for this long, so that losing one heartbeat does no
+/// harm. Within the region every instance hears every other four times a second; heartbeats to
+/// other regions reach only a few instances each.
 constexpr milliseconds PlacementLifetime{1000};
-constexpr milliseconds PlacementLifetimeElsewhere{4000};
+constexpr milliseconds PlacementLifetimeOtherRegions{4000};
 constexpr std::size_t MaxPlacements = 64;
-/// What a new process learns at once is told in batches that far apart: each is in two heartbeats
-/// to the own region and in one to the others.
+/// Interval between the batches in which a new process reports the placements that it learned at
+/// once: each batch is in two heartbeats within the region and in one to other regions.
 constexpr milliseconds BatchInterval{500};
-/// Bounds the size of a heartbeat; more than a few instances have less under way each.
+/// Bounds the size of a heartbeat. With more than a few instances, each has requests on fewer
+/// endpoints.
 constexpr std::size_t MaxUses = 512;
 /// The expected load changes little in the time that a datagram takes.
 constexpr milliseconds LoadRefreshInterval{10};
-/// Rates are averaged over about the age of the reports that tell them.
-constexpr milliseconds RateMemory{500};
-/// Matches the interval at which other instances report their demand.
+/// About the age of the load reports that contain the rates.
+constexpr milliseconds RateAveragingTime{500};
+/// Equal to the interval at which other instances report their demand.
 constexpr milliseconds LimitDivisionInterval{250};
 /// How long the end of a limit is reported, so that it reaches every instance of the region.
 constexpr milliseconds EndedLimitLifetime{3000};
-constexpr std::size_t MaxLimitShares = 128;
+constexpr std::size_t MaxReportedLimits = 128;
 
 } // namespace
 
@@ -36,19 +37,19 @@
            + inMilliseconds(options.loadCost) / std::max(1, slots);
 }
 
-EndpointBook::EndpointBook(const DispatchOptions &options)
+EndpointTable::EndpointTable(const DispatchOptions &options)
     : options_(&options)
 {
 }
 
-void EndpointBook::setServices(const std::map<ServiceName, Catalog::Service> &services)
+void EndpointTable::setServices(const std::map<ServiceName, Catalog::Service> &services)
 {
     services_ = services;
     rebuild();
 }
 
-void EndpointBook::setEndpoints(const std::vector<Catalog::ListedEndpoint> &endpoints,
-                                const std::set<Common::FailureDomainName> &evacuated, Time now)
+void EndpointTable::setEndpoints(const std::vector<Catalog::ListedEndpoint> &endpoints,
+                                 const std::set<Common::FailureDomainName> &evacuated, Time now)
 {
     std::set<EndpointId> listed;
     for (const auto &endpoint : endpoints) {
@@ -59,9 +60,9 @@
         if (isNew) {
             state = std::make_unique<EndpointState>();
         }
-        const bool sameLife = !isNew && state->listed.record.startedAt == record.startedAt;
-        if (!isNew && !sameLife) {
-            // A new life under an old name knows nothing of the one before.
+        const bool sameIncarnation = !isNew && state->listed.record.startedAt == record.startedAt;
+        if (!isNew && !sameIncarnation) {
+            // The endpoint has restarted under its old id: nothing known about it applies any more.
             const int own = state->own;
             *state = EndpointState();
             state->own = own;
@@ -70,7 +71,7 @@
         const bool wasEvacuated = state->evacuated;
         state->evacuated = evacuated.count(record.failureDomain) > 0;
         if (wasEvacuated && !state->evacuated) {
-            // It has had no work for a while and may come back cold.
+            // It received no requests for a while and may be cold.
             const auto service = services_.find(record.service);
             const auto cold = service != services_.end() ? service->second.coldTime : Duration(0);
             state->coldUntil = std::max(state->coldUntil, now + cold);
@@ -86,7 +87,7 @@
     rebuild();
 }
 
-void EndpointBook::rebuild()
+void EndpointTable::rebuild()
 {
     usable_.clear();
     running_.clear();
@@ -101,7 +102,7 @@
     for (const auto &[id, state] : endpoints_) {
         const auto &record = state->listed.record;
         const auto service = services_.find(record.service);
-        // Addresses are used again: what was there before has ended.
+        // Addresses are reused: an earlier endpoint at the same address no longer exists.
         const bool current = newestAt[record.address] == state.get();
         if (service == services_.end() || !current) {
             continue;
@@ -115,17 +116,17 @@
     }
 }
 
-std::int64_t EndpointBook::cacheCapacity(const ServiceName &name) const
+std::int64_t EndpointTable::cacheCapacity(const ServiceName &name) const
 {
     const auto service = services_.find(name);
     if (service == services_.end() || !service->second.engine) {
         return 0;
     }
     const auto tokens = static_cast<double>(service->second.engine->cacheTokens);
-    return static_cast<std::int64_t>(tokens * options_->cacheShare);
+    return static_cast<std::int64_t>(tokens * options_->cacheFraction);
 }
 
-void EndpointBook::setRemoteEndpoints(const std::vector<Catalog::ListedEndpoint> &endpoints)
+void EndpointTable::setRemoteEndpoints(const std::vector<Catalog::ListedEndpoint> &endpoints)
 {
     std::set<EndpointId> listed;
     remoteByService_.clear();
@@ -147,7 +148,7 @@
     std::erase_if(remote_, [&](const auto &item) { return listed.count(item.first) == 0; });
 }
 
-void EndpointBook::setRemotePlacements(const std::vector<PartPlacement> &placements)
+void EndpointTable::setRemotePlacements(const std::vector<PartPlacement> &placements)
 {
     for (const auto &placement : placements) {
         const auto found = remoteByShortId_.find(placement.endpoint);
@@ -157,19 +158,20 @@
     }
 }
 
-const std::vector<const RemoteEndpoint *> &EndpointBook::remote(const ServiceName &name) const
+const std::vector<const RemoteEndpoint *> &EndpointTable::remote(const ServiceName &name) const
 {
     static const std::vector<const RemoteEndpoint *> none;
     const auto found = remoteByService_.find(name);
     return found == remoteByService_.end() ? none : found->second;
 }
 
-void EndpointBook::setShare(const InstanceId &instance, const RegionLoadReport &share, Time now)
+void EndpointTable::setLoadReport(const InstanceId &instance, const RegionLoadReport &report,
+                                  Time now)
 {
-    estimate_.reported(instance, share, now);
-    loadIsOld_ = true;
-    learn(share.placements);
-    for (const auto &reported : share.limits) {
+    estimate_.reported(instance, report, now);
+    loadIsStale_ = true;
+    learn(report.placements);
+    for (const auto &reported : report.limits) {
         const auto found = byShortId_.find(reported.endpoint);
         if (found != byShortId_.end()) {
             const auto limit = reported.limited ? std::optional(reported.perSecond) : std::nullopt;
@@ -179,7 +181,7 @@
     }
 }
 
-bool EndpointBook::limitSeen(const EndpointId &id, const LimitStatement &statement)
+bool EndpointTable::limitSeen(const EndpointId &id, const LimitStatement &statement)
 {
     auto *state = find(id);
     const bool changed = state != nullptr && state->limit.update(statement);
@@ -187,8 +189,8 @@
     return changed;
 }
 
-void EndpointBook::divideLimits(const InstanceId &self, const std::vector<InstanceId> &instances,
-                                Time now)
+void EndpointTable::divideLimits(const InstanceId &self, const std::vector<InstanceId> &instances,
+                                 Time now)
 {
     if (!limitsChanged_ && now - limitsDividedAt_ < LimitDivisionInterval) {
         return;
@@ -212,24 +214,24 @@
     }
 }
 
-std::vector<LimitShare> EndpointBook::limits(Time now) const
+std::vector<LimitReport> EndpointTable::limits(Time now) const
 {
-    std::vector<LimitShare> shares;
+    std::vector<LimitReport> reports;
     for (const auto &[id, state] : endpoints_) {
         const auto &statement = state->limit.statement();
         const auto age = std::chrono::duration_cast<milliseconds>(now - statement.at);
         const auto ended = state->limit.endedAt();
         const bool reported =
             state->limit.limited() || (ended && now - *ended <= EndedLimitLifetime);
-        if (reported && shares.size() < MaxLimitShares) {
-            shares.push_back({shortId(id), state->limit.limited(), statement.perSecond.value_or(0),
-                              static_cast<std::uint32_t>(age.count())});
+        if (reported && reports.size() < MaxReportedLimits) {
+            reports.push_back({shortId(id), state->limit.limited(), statement.perSecond.value_or(0),
+                               static_cast<std::uint32_t>(age.count())});
         }
     }
-    return shares;
+    return reports;
 }
 
-void EndpointBook::learn(const std::vector<PartPlacement> &placements)
+void EndpointTable::learn(const std::vector<PartPlacement> &placements)
 {
     for (const auto &placement : placements) {
         const auto found = byShortId_.find(placement.endpoint);
@@ -239,7 +241,7 @@
     }
 }
 
-void EndpointBook::learn(const InstanceId &sender, const PromptNotice &notice, Time now)
+void EndpointTable::learn(const InstanceId &sender, const PromptNotice &notice, Time now)
 {
     const auto found = byShortId_.find(notice.endpoint);
     if (found == byShortId_.end()) {
@@ -247,15 +249,15 @@
     }
     auto &state = *found->second;
     const auto &model = engine(state.listed.record.service);
-    state.reading.add(now, model.busyReadTime(notice.prefillTokens));
+    state.prefillQueue.add(now, model.busyPrefillTime(notice.prefillTokens));
     estimate_.noticed(sender, notice.endpoint, now);
-    loadIsOld_ = true;
+    loadIsStale_ = true;
     for (const auto &part : notice.parts) {
         state.cache.use(Dialect::PromptPart{part.id, part.tokens});
     }
 }
 
-std::vector<PartPlacement> EndpointBook::caches() const
+std::vector<PartPlacement> EndpointTable::caches() const
 {
     std::vector<PartPlacement> placements;
     for (const auto &[id, state] : byShortId_) {
@@ -268,18 +270,18 @@
     return placements;
 }
 
-void EndpointBook::keepShares(const std::vector<InstanceId> &instances)
+void EndpointTable::keepReports(const std::vector<InstanceId> &instances)
 {
     estimate_.keep(instances);
-    loadIsOld_ = true;
+    loadIsStale_ = true;
 }
 
-void EndpointBook::refreshLoad(Time now)
+void EndpointTable::refreshLoad(Time now)
 {
-    if (!loadIsOld_ && now - loadAt_ < LoadRefreshInterval) {
+    if (!loadIsStale_ && now - loadAt_ < LoadRefreshInterval) {
         return;
     }
-    loadIsOld_ = false;
+    loadIsStale_ = false;
     loadAt_ = now;
     for (auto &[id, state] : byShortId_) {
         state->others = 0;
@@ -290,83 +292,83 @@
     }
 }
 
-void EndpointBook::estimateLoad(const ServiceName &name, Time now)
+void EndpointTable::estimateLoad(const ServiceName &name, Time now)
 {
     std::vector<EndpointLoad> loads;
     std::vector<EndpointState *> states;
     for (auto *state : running(name)) {
         const auto &record = state->listed.record;
-        const bool takesWork =
-            !state->listed.leaving && !state->evacuated && !state->restsUntil && !state->cold(now);
-        loads.push_back({shortId(record.id), record.slots, state->toldOwn, takesWork});
+        const bool acceptsRequests = !state->listed.leaving && !state->evacuated
+                                     && !state->ejectedUntil && !state->cold(now);
+        loads.push_back({shortId(record.id), record.slots, state->reportedOwn, acceptsRequests});
         states.push_back(state);
     }
-    // Engines are shared by quotas of their slots.
-    const bool weighsAge = !services_.at(name).engine;
-    estimate_.estimate(shortId(name), loads, weighsAge, now);
+    // Engines are divided by slot quotas, so reports about them are used at full weight.
+    const bool decayWithAge = !services_.at(name).engine;
+    estimate_.estimate(shortId(name), loads, decayWithAge, now);
     for (std::size_t index = 0; index < loads.size(); ++index) {
         states[index]->others = loads[index].known + loads[index].assumed;
         states[index]->assumed = loads[index].assumed;
     }
 }
 
-void EndpointBook::sent(const ServiceName &name, Time now)
+void EndpointTable::sent(const ServiceName &name, Time now)
 {
     auto &rate = sendRates_[name];
-    rate.perSecond = rate.at(now) + 1 / Common::toSeconds(RateMemory);
+    rate.perSecond = rate.at(now) + 1 / Common::toSeconds(RateAveragingTime);
     rate.updatedAt = now;
 }
 
-double EndpointBook::sentPerSecond(const ServiceName &name, Time now) const
+double EndpointTable::sentPerSecond(const ServiceName &name, Time now) const
 {
     const auto found = sendRates_.find(name);
     return found == sendRates_.end() ? 0 : found->second.at(now);
 }
 
-double EndpointBook::SendRate::at(Time now) const
+double EndpointTable::SendRate::at(Time now) const
 {
     return perSecond
-           * std::exp(-Common::toSeconds(now - updatedAt) / Common::toSeconds(RateMemory));
+           * std::exp(-Common::toSeconds(now - updatedAt) / Common::toSeconds(RateAveragingTime));
 }
 
-const Catalog::Service *EndpointBook::service(const ServiceName &name) const
+const Catalog::Service *EndpointTable::service(const ServiceName &name) const
 {
     const auto found = services_.find(name);
     return found == services_.end() ? nullptr : &found->second;
 }
 
-const std::vector<EndpointState *> &EndpointBook::usable(const ServiceName &name) const
+const std::vector<EndpointState *> &EndpointTable::usable(const ServiceName &name) const
 {
     static const std::vector<EndpointState *> none;
     const auto found = usable_.find(name);
     return found == usable_.end() ? none : found->second;
 }
 
-const std::vector<EndpointState *> &EndpointBook::running(const ServiceName &name) const
+const std::vector<EndpointState *> &EndpointTable::running(const ServiceName &name) const
 {
     static const std::vector<EndpointState *> none;
     const auto found = running_.find(name);
     return found == running_.end() ? none : found->second;
 }
 
-EndpointState *EndpointBook::find(const EndpointId &id)
+EndpointState *EndpointTable::find(const EndpointId &id)
 {
     const auto found = endpoints_.find(id);
     return found == endpoints_.end() ? nullptr : found->second.get();
 }
 
-const EndpointState *EndpointBook::find(const EndpointId &id) const
+const EndpointState *EndpointTable::find(const EndpointId &id) const
 {
     const auto found = endpoints_.find(id);
     return found == endpoints_.end() ? nullptr : found->second.get();
 }
 
-EngineModel &EndpointBook::engine(const ServiceName &name)
+EngineModel &EndpointTable::engine(const ServiceName &name)
 {
     return engines_.try_emplace(name, *options_).first->second;
 }
 
-std::vector<const EndpointState *> EndpointBook::all() const
+std::vector<const EndpointState *> EndpointTable::all() const
 {
     std::vector<const EndpointState *> states;
     for (const auto &[id, state] : endpoints_) {
@@ -375,10 +377,10 @@
     return states;
 }
 
-void EndpointBook::placed(const EndpointState &endpoint,
-                          const std::vector<Dialect::PromptPart> &parts, Time now)
+void EndpointTable::placed(const EndpointState &endpoint,
+                           const std::vector<Dialect::PromptPart> &parts, Time now)
 {
-    std::size_t told = 0;
+    std::size_t count = 0;
     for (const auto &part : parts) {
         if (part.tokens < options_->copyMinimumTokens) {
             continue;
@@ -387,46 +389,46 @@
         placement.endpoint = shortId(endpoint.listed.record.id);
         placement.part = part.id;
         placement.tokens = static_cast<std::uint32_t>(part.tokens);
-        const auto batch = static_cast<int>(told / MaxPlacements);
+        const auto batch = static_cast<int>(count / MaxPlacements);
         placements_.push_back({now + batch * BatchInterval, placement});
-        ++told;
+        ++count;
     }
-    while (!placements_.empty() && now - placements_.front().at > PlacementLifetimeElsewhere) {
+    while (!placements_.empty() && now - placements_.front().at > PlacementLifetimeOtherRegions) {
         placements_.pop_front();
     }
 }
 
-WaitingWork EndpointBook::waitingAtOthers(const ServiceName &name) const
+WaitingWork EndpointTable::waitingAtOthers(const ServiceName &name) const
 {
     return estimate_.waitingAtOthers(shortId(name));
 }
 
-RegionLoadReport EndpointBook::share(Time now)
+RegionLoadReport EndpointTable::loadReport(Time now)
 {
-    RegionLoadReport share;
+    RegionLoadReport report;
     for (const auto &[id, state] : endpoints_) {
-        state->toldOwn = state->own;
-        if (state->own > 0 && share.uses.size() < MaxUses) {
-            share.uses.push_back({shortId(id), static_cast<std::uint16_t>(state->own)});
+        state->reportedOwn = state->own;
+        if (state->own > 0 && report.uses.size() < MaxUses) {
+            report.uses.push_back({shortId(id), static_cast<std::uint16_t>(state->own)});
         }
     }
-    share.placements = recentPlacements(PlacementLifetime, now);
-    share.limits = limits(now);
-    return share;
+    report.placements = recentPlacements(PlacementLifetime, now);
+    report.limits = limits(now);
+    return report;
 }
 
-std::vector<PartPlacement> EndpointBook::placementsForElsewhere(Time now) const
+std::vector<PartPlacement> EndpointTable::placementsForOtherRegions(Time now) const
 {
-    return recentPlacements(PlacementLifetimeElsewhere, now);
+    return recentPlacements(PlacementLifetimeOtherRegions, now);
 }
 
-std::vector<PartPlacement> EndpointBook::recentPlacements(Duration age, Time now) const
+std::vector<PartPlacement> EndpointTable::recentPlacements(Duration age, Time now) const
 {
     std::vector<PartPlacement> result;
     for (auto left = placements_.size(); left > 0; --left) {
         const auto &recent = placements_[left - 1];
-        const bool tellable = recent.at <= now && now - recent.at <= age;
-        if (tellable && result.size() < MaxPlacements) {
+        const bool due = recent.at <= now && now - recent.at <= age;
+        if (due && result.size() < MaxPlacements) {
             result.push_back(recent.placement);
         }
     }
--- a/Source/Core/Dispatch/EndpointBook.h
+++ b/Source/Core/Dispatch/EndpointTable.h
@@ -9,23 +9,23 @@
 #include <set>
 #include <vector>
 
-#include "Dispatch/ColdGate.h"
+#include "Dispatch/ColdRateLimit.h"
 #include "Dispatch/EngineModel.h"
 #include "Dispatch/EventPace.h"
 #include "Dispatch/LoadEstimate.h"
+#include "Dispatch/LoadReports.h"
 #include "Dispatch/Options.h"
-#include "Dispatch/PartCache.h"
+#include "Dispatch/PrefixCache.h"
 #include "Dispatch/RateLimit.h"
 #include "Dispatch/ReadingQueue.h"
-#include "Dispatch/Shares.h"
 #include "Dispatch/Util.h"
 
 namespace LaburnumChute::Dispatch {
 
-/// What one more request on an endpoint costs those that come after it.
+/// Cost of one more request on an endpoint to the requests that follow it.
 Milliseconds costOfRequest(const DispatchOptions &options, int slots);
 
-/// One endpoint of the own region.
+/// State of an endpoint of this instance's region.
 struct EndpointState
 {
     Catalog::ListedEndpoint listed;
@@ -33,36 +33,36 @@
     bool evacuated = false;
     Time coldUntil{};
 
-    /// Requests of this instance on it: now, and as it last told the others.
+    /// Requests of this instance on the endpoint: currently, and as of its last load report.
     int own = 0;
-    int toldOwn = 0;
-    /// Requests of the region's other instances that are expected on it, and the part of them that
-    /// is assumed since nobody has told where they are.
+    int reportedOwn = 0;
+    /// Expected requests of the region's other instances on the endpoint, and the part of them that
+    /// is assumed because no load report locates it.
     double others = 0;
     double assumed = 0;
-    ReadingQueue reading;
+    PrefillQueue prefillQueue;
     EventPace pace;
-    /// The time to the first event as a multiple of what was expected, averaged.
+    /// Mean ratio of the actual to the expected time to the first event.
     double slowness = 1;
-    /// Share of answers that are errors of its own, averaged.
-    double errorShare = 0;
-    /// Mean time that a request holds a place; until some have ended, that of plain calls in use.
-    Duration hold = milliseconds(60);
-    PartCache cache;
-    ColdGate coldGate;
+    /// Moving average of the fraction of answers that are errors of the endpoint.
+    double errorRate = 0;
+    /// Mean time that a request holds a slot. The default is typical of plain calls.
+    Duration holdTime = milliseconds(60);
+    PrefixCache cache;
+    ColdRateLimit coldRateLimit;
     RateLimit limit;
 
-    /// Broken or silent tries since the last good answer.
-    int failures = 0;
-    /// It rests until then; afterwards one request goes first.
-    std::optional<Time> restsUntil;
-    Duration rest{0};
-    bool trial = false;
-    /// Its last word on its load.
+    /// Broken or silent attempts since the last successful answer.
+    int consecutiveFailures = 0;
+    /// No requests are sent until then; afterwards a single request probes the endpoint first.
+    std::optional<Time> ejectedUntil;
+    Duration ejectionTime{0};
+    bool probing = false;
+    /// Latest load that the endpoint stated.
     Dialect::LoadSample sample;
     Time sampledAt{};
-    /// Fingerprints of requests whose connection broke here lately.
-    std::deque<std::pair<Time, std::uint64_t>> lost;
+    /// Fingerprints of requests whose connection to the endpoint broke recently.
+    std::deque<std::pair<Time, std::uint64_t>> brokenCalls;
 
     double load() const
     {
@@ -73,12 +73,12 @@
         constexpr double IdleBelow = 0.5;
         return load() < IdleBelow;
     }
-    /// Mean time that a request holds a place, in seconds and above 0.
+    /// Mean time that a request holds a slot, in seconds; always above 0.
     double holdSeconds() const
     {
-        /// Bounds what an endpoint of very quick calls is said to take.
+        /// Bounds the request rate that is computed for an endpoint with very short calls.
         constexpr double Shortest = 0.005;
-        return std::max(Shortest, Common::toSeconds(hold));
+        return std::max(Shortest, Common::toSeconds(holdTime));
     }
     /// Caps a request rate at the endpoint's rate limit, if it has one.
     double cappedRate(double perSecond) const
@@ -91,34 +91,35 @@
     }
 };
 
-/// An endpoint of another region: it gets no requests from here, but its memory may be copied.
+/// An endpoint of another region. It receives no requests from here, but its KV cache can be
+/// copied.
 struct RemoteEndpoint
 {
     Catalog::ListedEndpoint listed;
-    PartCache cache;
+    PrefixCache cache;
 };
 
-/// All endpoints of the own region, by service, and what is known of those of other regions.
-class EndpointBook
+/// Endpoints of this instance's region by service, and what is known of those of other regions.
+class EndpointTable
 {
 public:
-    explicit EndpointBook(const DispatchOptions &options);
+    explicit EndpointTable(const DispatchOptions &options);
 
     void setServices(const std::map<ServiceName, Catalog::Service> &services);
     void setEndpoints(const std::vector<Catalog::ListedEndpoint> &endpoints,
                       const std::set<Common::FailureDomainName> &evacuated, Time now);
     void setRemoteEndpoints(const std::vector<Catalog::ListedEndpoint> &endpoints);
-    /// What endpoints of other regions were sent lately.
+    /// Updates the prefix caches of other regions' endpoints from the placements in a load report.
     void setRemotePlacements(const std::vector<PartPlacement> &placements);
-    /// What another instance of the region has on the endpoints.
-    void setShare(const InstanceId &instance, const RegionLoadReport &share, Time now);
-    /// Forgets the shares of instances that are not in the list.
-    void keepShares(const std::vector<InstanceId> &instances);
+    /// Applies the load report of another instance of the region.
+    void setLoadReport(const InstanceId &instance, const RegionLoadReport &report, Time now);
+    /// Removes the load reports of instances that are not in the list.
+    void keepReports(const std::vector<InstanceId> &instances);
 
     const Catalog::Service *service(const ServiceName &name) const;
-    /// Endpoints of the service that may get new work, cold and resting ones among them.
+    /// Endpoints of the service that accept new requests, including cold and ejected ones.
     const std::vector<EndpointState *> &usable(const ServiceName &name) const;
-    /// Those whose memory may be read, though they get no new work.
+    /// Endpoints whose KV cache can be read, including those that accept no new requests.
     const std::vector<EndpointState *> &running(const ServiceName &name) const;
     const std::vector<const RemoteEndpoint *> &remote(const ServiceName &name) const;
     EndpointState *find(const EndpointId &id);
@@ -129,27 +130,27 @@
     {
         return services_;
     }
-    /// Work of the service that waits at the region's other instances.
+    /// Queued work of the service at the region's other instances.
     WaitingWork waitingAtOthers(const ServiceName &name) const;
-    /// Brings the expected load of the endpoints up to date with the age of what was told of it.
+    /// Recomputes the expected load of the endpoints according to the age of the load reports.
     void refreshLoad(Time now);
-    /// This instance has sent a request to an endpoint of the service.
+    /// Records that this instance sent a request to an endpoint of the service.
     void sent(const ServiceName &name, Time now);
     double sentPerSecond(const ServiceName &name, Time now) const;
-    /// Records the limit that an answer of the endpoint stated, or that it stated none.
+    /// Records the rate limit that an answer of the endpoint stated, or that it stated none.
     /// @return the limit has changed
     bool limitSeen(const EndpointId &id, const LimitStatement &statement);
     /// Recomputes this instance's fraction of the endpoints' rate limits.
     /// @param instances live instances of the own region, including this one
     void divideLimits(const InstanceId &self, const std::vector<InstanceId> &instances, Time now);
-    /// What is told to the region's other instances now.
-    RegionLoadReport share(Time now);
-    std::vector<PartPlacement> placementsForElsewhere(Time now) const;
+    /// Load report for the region's other instances.
+    RegionLoadReport loadReport(Time now);
+    std::vector<PartPlacement> placementsForOtherRegions(Time now) const;
     std::vector<PartPlacement> caches() const;
     void learn(const std::vector<PartPlacement> &placements);
-    /// What another instance of the region has just sent.
+    /// Applies a notice of a long prompt that another instance of the region has just sent.
     void learn(const InstanceId &sender, const PromptNotice &notice, Time now);
-    /// Remembers large parts for the next shares.
+    /// Records large parts for the next load reports.
     void placed(const EndpointState &endpoint, const std::vector<Dialect::PromptPart> &parts,
                 Time now);
 
@@ -170,7 +171,7 @@
     std::vector<PartPlacement> recentPlacements(Duration age, Time now) const;
     void rebuild();
     void estimateLoad(const ServiceName &name, Time now);
-    std::vector<LimitShare> limits(Time now) const;
+    std::vector<LimitReport> limits(Time now) const;
     std::int64_t cacheCapacity(const ServiceName &name) const;
 
     const DispatchOptions *options_;
@@ -188,7 +189,7 @@
     Time limitsDividedAt_{};
     LoadEstimate estimate_;
     Time loadAt_{};
-    bool loadIsOld_ = false;
+    bool loadIsStale_ = false;
     std::deque<RecentPlacement> placements_;
 };
 
--- a/Source/Core/Dispatch/EngineModel.cpp
+++ b/Source/Core/Dispatch/EngineModel.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-/// Shorter prompts say more of the way there than of the engine.
+/// The time to the first event of shorter prompts depends more on the network than on the engine.
 constexpr std::int64_t SampleMinimumTokens = 1000;
 constexpr double SampleWeight = 0.1;
-/// Bounds of what is believed: a tenth of the slowest and ten times the fastest engine in use.
-constexpr double SlowestRate = 4;
-constexpr double FastestRate = 600;
-/// Bounds of the part of an engine's time that reading prompts gets.
-constexpr double SmallestShare = 0.1;
-constexpr double LargestShare = 1;
-/// The sums over answers keep so much of themselves at each answer.
-constexpr double AnswerMemory = 0.999;
-/// The fastest pause is forgotten by this much at each event, should all engines get slower.
+/// Bounds of the estimate: a tenth of the slowest and ten times the fastest engine in use.
+constexpr double MinPrefillRate = 4;
+constexpr double MaxPrefillRate = 600;
+/// Bounds of the fraction of an engine's time that prefill gets.
+constexpr double MinPrefillFraction = 0.1;
+constexpr double MaxPrefillFraction = 1;
+/// Factor by which the sums over answers decay with each answer.
+constexpr double AnswerDecay = 0.999;
+/// Factor by which the shortest pause grows with each event, in case all engines become slower.
 constexpr double FastestPauseGrowth = 1.0001;
 
 } // namespace
@@ -27,49 +27,50 @@
 EngineModel::EngineModel(const DispatchOptions &options)
     : floor_(options.firstEventFloor)
     , rate_(options.prefillRate)
-    , readShare_(options.readShare)
+    , prefillFraction_(options.prefillFraction)
 {
 }
 
-Duration EngineModel::readTime(std::int64_t tokens) const
+Duration EngineModel::prefillTime(std::int64_t tokens) const
 {
     const std::chrono::duration<double, std::milli> time(static_cast<double>(tokens) / rate_);
     return std::chrono::duration_cast<Duration>(time);
 }
 
-void EngineModel::sample(std::int64_t tokens, Duration firstEvent)
+void EngineModel::samplePrefill(std::int64_t tokens, Duration firstEvent)
 {
     if (tokens < SampleMinimumTokens || firstEvent <= floor_) {
         return;
     }
     const std::chrono::duration<double, std::milli> reading(firstEvent - floor_);
-    const auto seen =
-        std::clamp(static_cast<double>(tokens) / reading.count(), SlowestRate, FastestRate);
+    const auto measured =
+        std::clamp(static_cast<double>(tokens) / reading.count(), MinPrefillRate, MaxPrefillRate);
     ++rateSamples_;
-    // The first ones replace what was assumed.
-    rate_ += std::max(SampleWeight, 1.0 / rateSamples_) * (seen - rate_);
+    // The first samples replace the default.
+    rate_ += std::max(SampleWeight, 1.0 / rateSamples_) * (measured - rate_);
 }
 
-void EngineModel::sampleBusy(Duration expected, Duration took)
+void EngineModel::sampleBusyPrefill(Duration expected, Duration took)
 {
-    constexpr double MostChange = 4;
+    constexpr double MaxRatio = 4;
     if (expected <= Duration(0) || took <= Duration(0)) {
         return;
     }
     const double ratio =
-        std::clamp(inMilliseconds(expected) / inMilliseconds(took), 1 / MostChange, MostChange);
+        std::clamp(inMilliseconds(expected) / inMilliseconds(took), 1 / MaxRatio, MaxRatio);
     const double factor = 1 + SampleWeight * (ratio - 1);
     if (rateSamples_ > 0) {
-        readShare_ = std::clamp(readShare_ * factor, SmallestShare, LargestShare);
+        prefillFraction_ =
+            std::clamp(prefillFraction_ * factor, MinPrefillFraction, MaxPrefillFraction);
     } else {
-        // No engine has been idle so far: its speed is not known, either.
-        rate_ = std::clamp(rate_ * factor, SlowestRate, FastestRate);
+        // No engine has been idle so far, so the prefill rate is unknown too.
+        rate_ = std::clamp(rate_ * factor, MinPrefillRate, MaxPrefillRate);
     }
 }
 
-Duration EngineModel::busyReadTime(std::int64_t tokens) const
+Duration EngineModel::busyPrefillTime(std::int64_t tokens) const
 {
-    return scaled(readTime(tokens), 1 / readShare_);
+    return scaled(prefillTime(tokens), 1 / prefillFraction_);
 }
 
 void EngineModel::answerSeen(std::int64_t expectedTokens, int events)
@@ -77,8 +78,8 @@
     if (expectedTokens <= 0 || events <= 0) {
         return;
     }
-    expectedTokens_ = expectedTokens_ * AnswerMemory + static_cast<double>(expectedTokens);
-    events_ = events_ * AnswerMemory + events;
+    expectedTokens_ = expectedTokens_ * AnswerDecay + static_cast<double>(expectedTokens);
+    events_ = events_ * AnswerDecay + events;
 }
 
 double EngineModel::expectedEvents(std::int64_t expectedTokens) const
--- a/Source/Core/Dispatch/EngineModel.h
+++ b/Source/Core/Dispatch/EngineModel.h
@@ -4,33 +4,35 @@
 
 namespace LaburnumChute::Dispatch {
 
-/// How fast the engines of a service read prompts, learnt from answers.
+/// Prefill and generation speed of a service's engines, learned from their answers.
 class EngineModel
 {
 public:
     explicit EngineModel(const DispatchOptions &options);
 
-    /// Time to read so many tokens on an engine that reads nothing else.
-    Duration readTime(std::int64_t tokens) const;
-    /// A first event came this long after a prompt went to an engine with nothing else to read.
-    void sample(std::int64_t tokens, Duration firstEvent);
-    /// An engine read prompts without a pause, in another time than was expected of it.
-    void sampleBusy(Duration expected, Duration took);
-    /// Time to read so many tokens on an engine that makes answers beside it.
-    Duration busyReadTime(std::int64_t tokens) const;
+    /// Time to prefill the tokens on an engine without other prefill.
+    Duration prefillTime(std::int64_t tokens) const;
+    /// Records the time to the first event of a prompt that was sent to an engine without other
+    /// prefill.
+    void samplePrefill(std::int64_t tokens, Duration firstEvent);
+    /// Records the expected and the actual time that an engine took to prefill prompts without a
+    /// pause.
+    void sampleBusyPrefill(Duration expected, Duration took);
+    /// Time to prefill the tokens on an engine that also generates answers.
+    Duration busyPrefillTime(std::int64_t tokens) const;
     double tokensPerMillisecond() const
     {
         return rate_;
     }
 
-    /// An answer of which so many tokens were expected has ended after so many events.
+    /// Records the expected tokens and the number of events of an answer that has ended.
     void answerSeen(std::int64_t expectedTokens, int events);
-    /// Events that an answer of which so many tokens are expected will have; 0 until some answers
+    /// Expected number of events of an answer with the given number of tokens; 0 until some answers
     /// have shown how many tokens are in an event.
     double expectedEvents(std::int64_t expectedTokens) const;
-    /// Some engine of the service makes events with this pause.
+    /// Records the pause between events of some engine of the service.
     void paceSeen(Duration pause);
-    /// Pause between events of an engine that does little else; 0 until some were seen.
+    /// Pause between the events of an engine with little other work; 0 until some were observed.
     Duration fastestPause() const
     {
         return fastestPause_;
@@ -39,10 +41,10 @@
 private:
     Duration floor_;
     double rate_;
-    double readShare_;
-    /// Prompts that an idle engine was seen to read.
+    double prefillFraction_;
+    /// Number of measured prefills on idle engines.
     int rateSamples_ = 0;
-    /// Sums over answers; recent ones count more.
+    /// Decaying sums over answers.
     double expectedTokens_ = 0;
     double events_ = 0;
     Duration fastestPause_{0};
--- a/Source/Core/Dispatch/EventPace.cpp
+++ b/Source/Core/Dispatch/EventPace.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// Weight of one event. An engine with some streams makes a few dozen of them in half a second.
+/// Weight of one event. An engine with several streams sends a few dozen events in half a second.
 constexpr double EventWeight = 0.05;
-/// An engine without an event for this long has no stream of this instance under way.
+/// An engine without an event for this long has no running stream of this instance.
 constexpr milliseconds PaceLifetime{500};
 
 } // namespace
--- a/Source/Core/Dispatch/EventPace.h
+++ b/Source/Core/Dispatch/EventPace.h
@@ -4,17 +4,17 @@
 
 namespace LaburnumChute::Dispatch {
 
-/// How fast an engine makes the events of its streams, as this instance sees them pass.
+/// Time between the events of an engine's streams, as observed by this instance.
 ///
-/// Load pattern: long answers among long prompts. A prompt that is read holds up every stream of
-/// its engine, so that an engine that reads a lot makes events several times as slowly as one that
-/// doesn't. Its number of requests does not show that.
+/// Load pattern: long answers among long prompts. Prefill of a prompt delays every stream of its
+/// engine, so an engine with a lot of prefill generates events several times slower than one
+/// without. The number of its requests does not show that.
 class EventPace
 {
 public:
-    /// @param pause time that so many events took
+    /// @param pause time in which the events were received
     void seen(int events, Duration pause, Time now);
-    /// Mean pause between two events; that of an idle engine when no event has come lately.
+    /// Mean time between two events, or whenIdle if there was no event recently.
     Duration pause(Duration whenIdle, Time now) const;
 
 private:
--- a/Source/Core/Dispatch/Facts.h
+++ b/Source/Core/Dispatch/Facts.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What the scheduler of relayed requests is told and what it answers.
+// Inputs and outputs of the scheduler of relayed requests.
 
 #include <cstdint>
 #include <optional>
@@ -24,66 +24,66 @@
 using Common::ServiceName;
 using Common::Time;
 
-/// Names a request within this process.
+/// Identifies a request within this process.
 using CallId = std::uint64_t;
 
-/// One request as the decisions see it.
+/// Properties of a request that the decisions depend on.
 struct CallFacts
 {
     CallId id = 0;
     ServiceName service;
     RequestKind kind = RequestKind::AtMostOnce;
-    /// A second run does no harm.
+    /// Running it twice is harmless.
     bool repeatable = false;
     /// 0 is the highest.
     int priority = 0;
     Time arrivedAt{};
-    /// When the first byte of the answer should be there.
+    /// Target time of the first byte of the answer.
     Time objectiveAt{};
-    /// When its caller gets an answer whatever has happened.
+    /// Time at which the caller gets an answer in any case.
     Time deadline{};
     std::vector<Dialect::PromptPart> parts;
     std::int64_t promptTokens = 0;
     std::int64_t outputTokens = 0;
-    /// The only regions that may serve it; empty allows all.
+    /// Regions that may serve it; empty allows all regions.
     std::vector<RegionName> allowedRegions;
-    /// It came from another region and is not forwarded again.
+    /// It came from another region and must not be forwarded again.
     bool forwarded = false;
-    /// Endpoints on which it may run.
+    /// Number of endpoints that may run it.
     int maxRuns = 1;
-    /// Equal for requests of the same content from the same caller.
+    /// Equal for requests with the same content from the same caller.
     std::uint64_t fingerprint = 0;
 };
 
-/// Why a try on an endpoint or in another region ended.
+/// Why an attempt on an endpoint or in another region ended.
 enum class AttemptOutcome {
-    /// The whole answer came, whatever it says.
+    /// The whole answer was received, whatever its content.
     Completed,
-    /// Its caller has left.
+    /// The caller disconnected.
     Cancelled,
-    /// No connection came about, so nothing was sent.
+    /// No connection was established, so nothing was sent.
     NotConnected,
-    /// The endpoint said that it has not run it.
+    /// The endpoint reported that it did not run the request.
     NotRun,
-    /// The endpoint answered with an error of its own, after running it.
+    /// The endpoint ran the request and answered with an error of its own.
     Error,
-    /// The connection broke under it; it may have run.
+    /// The connection broke during the attempt; the request may have run.
     Broken,
-    /// No answer came in time; it may have run.
+    /// No answer arrived in time; the request may have run.
     Silent,
 };
 
 std::string_view toString(AttemptOutcome outcome);
 
 enum class RejectReason {
-    /// It would not be served in the time its caller wants.
+    /// It could not be answered in the time that its caller allows.
     Overloaded,
-    /// No endpoint in any region that may serve it.
+    /// No region that may serve it has an endpoint.
     NoEndpoint,
-    /// It has taken down the endpoints that ran it.
+    /// Endpoints that ran it crashed.
     Quarantined,
-    /// It was not run, and no further try is left.
-    TriesUsed,
+    /// It was not run, and no attempts are left.
+    AttemptsUsed,
 };
 
 std::string_view toString(RejectReason reason);
@@ -95,28 +95,29 @@
     EndpointId endpoint;
     /// "ip:port".
     std::string address;
-    /// "ip:port" of an endpoint that holds more of the prompt.
+    /// "ip:port" of an endpoint that has more of the prompt in its prefix cache.
     std::optional<std::string> copyCacheFrom;
-    /// Expected until the first byte of the answer.
+    /// Expected time until the first byte of the answer.
     Duration expected{0};
-    // What decided, for the log: tokens of the prompt that the endpoint has to read, and requests
-    // that it had of this instance and, as they told it and as is assumed, of the region's others.
+    // Inputs of the decision, for the log: prompt tokens that are not cached on the endpoint, and
+    // the endpoint's requests: those of this instance, those that the region's other instances
+    // reported, and those that they are assumed to have sent since.
     std::int64_t prefillTokens = 0;
     int own = 0;
     double others = 0;
     double assumed = 0;
 };
 
-/// Send the request to an instance of the region now.
+/// Forward the request to an instance of the region now.
 struct Forward
 {
     CallId call = 0;
     RegionName region;
-    /// Endpoints on which it may run there.
+    /// Number of endpoints that may run it there.
     int maxRuns = 1;
 };
 
-/// The request has not run; tell its caller when to come back.
+/// The request has not run; tell its caller when to retry.
 struct Reject
 {
     CallId call = 0;
@@ -130,7 +131,7 @@
     CallId call = 0;
 };
 
-/// Take the request off its endpoint, which is silent, and report that try as Silent.
+/// Cancel the attempt on an endpoint that does not answer, and report its outcome as Silent.
 struct CancelAttempt
 {
     CallId call = 0;
--- a/Source/Core/Dispatch/LoadEstimate.cpp
+++ b/Source/Core/Dispatch/LoadEstimate.cpp
@@ -10,8 +10,7 @@
 
 namespace {
 
-/// In seconds.
-constexpr double ShortestStay = 1e-3;
+constexpr double MinResidenceSeconds = 1e-3;
 /// Equal to the report interval. Not every report reaches every instance, so a notice that counted
 /// until the next report received from its sender would outlive the request.
 constexpr milliseconds NoticeLifetime{250};
@@ -22,27 +21,28 @@
     return std::max(1, endpoint.slots);
 }
 
-/// How busy the other instances take the endpoint to be, as they choose by it.
-double useOf(const EndpointLoad &endpoint)
+/// Utilization of the endpoint as the other instances see it when they choose.
+double utilizationOf(const EndpointLoad &endpoint)
 {
-    return (endpoint.toldOwn + endpoint.known) / slotsOf(endpoint);
+    return (endpoint.reportedOwn + endpoint.known) / slotsOf(endpoint);
 }
 
-/// Places that others would still take there.
-double roomOf(const EndpointLoad &endpoint)
+/// Slots that the other instances would still fill.
+double spareSlotsOf(const EndpointLoad &endpoint)
 {
-    return std::max(0.0, slotsOf(endpoint) - endpoint.toldOwn - endpoint.known);
+    return std::max(0.0, slotsOf(endpoint) - endpoint.reportedOwn - endpoint.known);
 }
 
-double filledUpTo(const EndpointLoad &endpoint, double level)
+double slotsFilledUpTo(const EndpointLoad &endpoint, double level)
 {
-    return std::clamp((level - useOf(endpoint)) * slotsOf(endpoint), 0.0, roomOf(endpoint));
+    return std::clamp((level - utilizationOf(endpoint)) * slotsOf(endpoint), 0.0,
+                      spareSlotsOf(endpoint));
 }
 
-/// The level up to which endpoints are filled by an amount that has room there.
+/// Utilization up to which the amount fills the endpoints that have spare slots.
 double levelFor(const std::vector<EndpointLoad> &endpoints, double amount, double highest)
 {
-    // Halved so often, the level is exact to a thousandth of a request.
+    // After this many bisections the level is exact to a thousandth of a request.
     constexpr int Steps = 24;
     double low = 0;
     double high = highest;
@@ -50,7 +50,7 @@
         const double middle = (low + high) / 2;
         double filled = 0;
         for (const auto &endpoint : endpoints) {
-            filled += endpoint.takesWork ? filledUpTo(endpoint, middle) : 0;
+            filled += endpoint.acceptsRequests ? slotsFilledUpTo(endpoint, middle) : 0;
         }
         (filled < amount ? low : high) = middle;
     }
@@ -64,11 +64,11 @@
     return found == services.end() ? nullptr : &*found;
 }
 
-/// Share of what was told at that time that still holds.
-double stillThere(Time at, Duration stay, Time now)
+/// Fraction of the reported requests that are still on the endpoint.
+double remainingFraction(Time at, Duration residenceTime, Time now)
 {
-    const double mean = std::max(ShortestStay, Common::toSeconds(stay));
-    return std::exp(-Common::toSeconds(now - at) / mean);
+    const double meanResidence = std::max(MinResidenceSeconds, Common::toSeconds(residenceTime));
+    return std::exp(-Common::toSeconds(now - at) / meanResidence);
 }
 
 } // namespace
@@ -76,35 +76,36 @@
 void spreadEvenly(std::vector<EndpointLoad> &endpoints, double amount)
 {
     double slots = 0;
-    double room = 0;
+    double spareSlots = 0;
     double highest = 0;
     for (const auto &endpoint : endpoints) {
-        if (endpoint.takesWork) {
+        if (endpoint.acceptsRequests) {
             slots += slotsOf(endpoint);
-            room += roomOf(endpoint);
-            highest = std::max(highest, useOf(endpoint) + 1);
+            spareSlots += spareSlotsOf(endpoint);
+            highest = std::max(highest, utilizationOf(endpoint) + 1);
         }
     }
     if (slots <= 0) {
         return;
     }
-    const double level = levelFor(endpoints, std::min(amount, room), highest);
-    // Where all are full nobody avoids anyone.
-    const double excess = std::max(0.0, amount - room) / slots;
+    const double level = levelFor(endpoints, std::min(amount, spareSlots), highest);
+    // If all endpoints are full, no instance avoids any of them.
+    const double excess = std::max(0.0, amount - spareSlots) / slots;
     for (auto &endpoint : endpoints) {
-        if (endpoint.takesWork) {
-            endpoint.assumed = filledUpTo(endpoint, level) + excess * slotsOf(endpoint);
+        if (endpoint.acceptsRequests) {
+            endpoint.assumed = slotsFilledUpTo(endpoint, level) + excess * slotsOf(endpoint);
         }
     }
 }
 
-void LoadEstimate::reported(const InstanceId &instance, const RegionLoadReport &share, Time now)
+void LoadEstimate::reported(const InstanceId &instance, const RegionLoadReport &loadReport,
+                            Time now)
 {
     auto &report = reports_[instance];
-    report.services = share.services;
+    report.services = loadReport.services;
     report.at = now;
     report.uses.clear();
-    for (const auto &use : share.uses) {
+    for (const auto &use : loadReport.uses) {
         report.uses.push_back({use.endpoint, static_cast<double>(use.inFlight), now, false});
     }
 }
@@ -142,18 +143,18 @@
     return work != nullptr ? work->sentPerSecond : 0;
 }
 
-std::optional<Duration> LoadEstimate::stay(std::uint32_t service,
-                                           const std::vector<EndpointLoad> &endpoints) const
+std::optional<Duration>
+LoadEstimate::residenceTime(std::uint32_t service, const std::vector<EndpointLoad> &endpoints) const
 {
     std::unordered_set<std::uint32_t> ids;
     for (const auto &endpoint : endpoints) {
         ids.insert(endpoint.endpoint);
     }
-    double underWay = 0;
+    double requestsInFlight = 0;
     double perSecond = 0;
     for (const auto &[instance, report] : reports_) {
         for (const auto &use : report.uses) {
-            underWay += ids.count(use.endpoint) > 0 ? use.inFlight : 0;
+            requestsInFlight += ids.count(use.endpoint) > 0 ? use.inFlight : 0;
         }
         const auto *work = find(report.services, service);
         perSecond += work != nullptr ? work->sentPerSecond : 0;
@@ -161,31 +162,32 @@
     if (perSecond <= 0) {
         return std::nullopt;
     }
-    const std::chrono::duration<double> mean(underWay / perSecond);
-    return std::chrono::duration_cast<Duration>(mean);
+    const std::chrono::duration<double> meanResidence(requestsInFlight / perSecond);
+    return std::chrono::duration_cast<Duration>(meanResidence);
 }
 
 void LoadEstimate::estimate(std::uint32_t service, std::vector<EndpointLoad> &endpoints,
-                            bool weighsAge, Time now) const
+                            bool decayWithAge, Time now) const
 {
     std::unordered_map<std::uint32_t, EndpointLoad *> byId;
     for (auto &endpoint : endpoints) {
         byId[endpoint.endpoint] = &endpoint;
     }
-    const auto mean = weighsAge ? stay(service, endpoints) : std::nullopt;
-    double unknown = 0;
+    const auto meanResidence = decayWithAge ? residenceTime(service, endpoints) : std::nullopt;
+    double unlocated = 0;
     for (const auto &[instance, report] : reports_) {
         for (const auto &use : report.uses) {
             const auto found = byId.find(use.endpoint);
             const bool expired = use.noticed && now - use.at > NoticeLifetime;
             if (found != byId.end() && !expired) {
-                const double left = mean ? stillThere(use.at, *mean, now) : 1;
-                found->second->known += use.inFlight * left;
-                unknown += use.inFlight * (1 - left);
+                const double remaining =
+                    meanResidence ? remainingFraction(use.at, *meanResidence, now) : 1;
+                found->second->known += use.inFlight * remaining;
+                unlocated += use.inFlight * (1 - remaining);
             }
         }
     }
-    spreadEvenly(endpoints, unknown);
+    spreadEvenly(endpoints, unlocated);
 }
 
 } // namespace LaburnumChute::Dispatch
--- a/Source/Core/Dispatch/Shares.cpp
+++ b/Source/Core/Dispatch/LoadReports.cpp
@@ -1,4 +1,4 @@
-#include "Dispatch/Shares.h"
+#include "Dispatch/LoadReports.h"
 
 namespace LaburnumChute::Dispatch {
 
--- a/Source/Core/Dispatch/Shares.h
+++ b/Source/Core/Dispatch/LoadReports.h
@@ -1,5 +1,8 @@
 #pragma once
 
+// Messages between instances, encoded with cereal. The order, number and types of the fields in
+// each serialize() are part of the protocol.
+
 #include <cstdint>
 #include <string>
 #include <vector>
@@ -8,17 +11,16 @@
 
 namespace LaburnumChute::Dispatch {
 
-/// Names an endpoint in few bytes.
+/// Hash of an id or a name that identifies it in messages in fewer bytes.
 std::uint32_t shortId(const EndpointId &id);
 std::uint32_t shortId(const ServiceName &name);
 
-/// Requests of one instance on one endpoint.
+/// Number of one instance's requests on one endpoint.
 struct EndpointUse
 {
     std::uint32_t endpoint = 0;
     std::uint16_t inFlight = 0;
 
-    /// For cereal.
     template <typename Archive>
     void serialize(Archive &archive)
     {
@@ -26,14 +28,13 @@
     }
 };
 
-/// A large part of a prompt that an endpoint was sent lately.
+/// A large part of a prompt that was recently sent to an endpoint.
 struct PartPlacement
 {
     std::uint32_t endpoint = 0;
     std::uint64_t part = 0;
     std::uint32_t tokens = 0;
 
-    /// For cereal.
     template <typename Archive>
     void serialize(Archive &archive)
     {
@@ -47,7 +48,6 @@
     std::uint64_t id = 0;
     std::uint32_t tokens = 0;
 
-    /// For cereal.
     template <typename Archive>
     void serialize(Archive &archive)
     {
@@ -55,16 +55,15 @@
     }
 };
 
-/// A long prompt that has just been sent to an endpoint. The other instances of the region are told
-/// at once: until the next share an engine would get several of them from instances that take it
-/// for idle, and each instance would have another engine read the same part.
+/// A long prompt that has just been sent to an endpoint. It is announced to the region's other
+/// instances at once: before the next load report, instances that see the engine as idle would send
+/// it several such prompts, and each instance would have a different engine prefill the same part.
 struct PromptNotice
 {
     std::uint32_t endpoint = 0;
     std::uint32_t prefillTokens = 0;
     std::vector<NoticedPart> parts;
 
-    /// For cereal.
     template <typename Archive>
     void serialize(Archive &archive)
     {
@@ -72,13 +71,12 @@
     }
 };
 
-/// What one instance sent within a few milliseconds.
+/// Prompts that one instance sent within a few milliseconds.
 struct PromptNotices
 {
     InstanceId sender;
     std::vector<PromptNotice> prompts;
 
-    /// For cereal.
     template <typename Archive>
     void serialize(Archive &archive)
     {
@@ -86,14 +84,13 @@
     }
 };
 
-/// A request that is suspected of taking endpoints down.
-struct SuspectShare
+/// A request that is suspected of crashing endpoints.
+struct SuspectReport
 {
     std::uint64_t fingerprint = 0;
     std::vector<std::string> deaths;
     std::uint32_t ageMs = 0;
 
-    /// For cereal.
     template <typename Archive>
     void serialize(Archive &archive)
     {
@@ -102,14 +99,13 @@
 };
 
 /// Latest rate limit statement of an endpoint that an instance knows of.
-struct LimitShare
+struct LimitReport
 {
     std::uint32_t endpoint = 0;
     bool limited = false;
     double perSecond = 0;
     std::uint32_t ageMs = 0;
 
-    /// For cereal.
     template <typename Archive>
     void serialize(Archive &archive)
     {
@@ -117,16 +113,16 @@
     }
 };
 
-/// What one instance does for a service.
+/// Work of one instance for a service.
 struct ServiceWork
 {
     std::uint32_t service = 0;
-    /// Requests that wait there, and the time that they keep one engine or one place busy.
+    /// Queued requests, and the time for which they would occupy one engine or one slot of a plain
+    /// endpoint.
     std::uint16_t waiting = 0;
     std::uint32_t waitingMs = 0;
     std::uint16_t sentPerSecond = 0;
 
-    /// For cereal.
     template <typename Archive>
     void serialize(Archive &archive)
     {
@@ -134,16 +130,15 @@
     }
 };
 
-/// What an instance tells the others of its region.
+/// Load report for the other instances of the region.
 struct RegionLoadReport
 {
     std::vector<EndpointUse> uses;
     std::vector<ServiceWork> services;
     std::vector<PartPlacement> placements;
-    std::vector<SuspectShare> suspects;
-    std::vector<LimitShare> limits;
+    std::vector<SuspectReport> suspects;
+    std::vector<LimitReport> limits;
 
-    /// For cereal.
     template <typename Archive>
     void serialize(Archive &archive)
     {
@@ -151,17 +146,16 @@
     }
 };
 
-/// What a region could take of one service.
-struct ServiceRoom
+/// Spare capacity of a region for one service.
+struct ServiceSpareCapacity
 {
     std::uint32_t service = 0;
     std::uint16_t endpoints = 0;
-    /// Requests a second that its free places would take.
+    /// Requests per second that its free slots could serve.
     std::uint32_t freePerSecond = 0;
-    /// Expected until the first event of a short request.
+    /// Expected time until the first event of a short request.
     std::uint16_t waitMs = 0;
 
-    /// For cereal.
     template <typename Archive>
     void serialize(Archive &archive)
     {
@@ -169,18 +163,17 @@
     }
 };
 
-/// What an instance tells those of other regions.
+/// Load report for instances of other regions.
 struct CrossRegionLoadReport
 {
-    std::vector<ServiceRoom> rooms;
+    std::vector<ServiceSpareCapacity> spareCapacities;
     std::vector<PartPlacement> placements;
-    std::vector<SuspectShare> suspects;
+    std::vector<SuspectReport> suspects;
 
-    /// For cereal.
     template <typename Archive>
     void serialize(Archive &archive)
     {
-        archive(rooms, placements, suspects);
+        archive(spareCapacities, placements, suspects);
     }
 };
 
--- a/Source/Core/Dispatch/OptionOverrides.cpp
+++ b/Source/Core/Dispatch/OptionOverrides.cpp
@@ -24,7 +24,7 @@
 const Descriptor Descriptors[] = {
     {"prefill-rate", &DispatchOptions::prefillRate},
     {"first-event-floor", &DispatchOptions::firstEventFloor},
-    {"read-share", &DispatchOptions::readShare},
+    {"read-share", &DispatchOptions::prefillFraction},
     {"notice-tokens", &DispatchOptions::noticeTokens},
     {"generation-weight", &DispatchOptions::generationWeight},
     {"disturbance-weight", &DispatchOptions::disturbanceWeight},
@@ -35,33 +35,33 @@
     {"copy-cost", &DispatchOptions::copyCost},
     {"load-cost", &DispatchOptions::loadCost},
     {"missing-cost", &DispatchOptions::missingCost},
-    {"home-tolerance", &DispatchOptions::homeTolerance},
-    {"cache-share", &DispatchOptions::cacheShare},
-    {"calm-share", &DispatchOptions::calmShare},
-    {"plain-queue-share", &DispatchOptions::plainQueueShare},
-    {"plain-queue-rounds", &DispatchOptions::plainQueueRounds},
-    {"objective-share", &DispatchOptions::objectiveShare},
-    {"wait-share", &DispatchOptions::waitShare},
-    {"admission-share", &DispatchOptions::admissionShare},
+    {"home-tolerance", &DispatchOptions::preferredTolerance},
+    {"cache-share", &DispatchOptions::cacheFraction},
+    {"calm-share", &DispatchOptions::quotaThreshold},
+    {"plain-queue-share", &DispatchOptions::plainQueueFraction},
+    {"plain-queue-rounds", &DispatchOptions::plainQueuePerSlot},
+    {"objective-share", &DispatchOptions::objectiveFraction},
+    {"wait-share", &DispatchOptions::waitFraction},
+    {"admission-share", &DispatchOptions::admissionFraction},
     {"priority-step", &DispatchOptions::priorityStep},
     {"look-ahead", &DispatchOptions::lookAhead},
     {"queue-limit", &DispatchOptions::queueLimit},
     {"retry-after-min", &DispatchOptions::retryAfterMin},
     {"retry-after-max", &DispatchOptions::retryAfterMax},
     {"retry-after-jitter", &DispatchOptions::retryAfterJitter},
-    {"rest-first", &DispatchOptions::restFirst},
-    {"rest-max", &DispatchOptions::restMax},
-    {"failures-in-row", &DispatchOptions::failuresInRow},
+    {"rest-first", &DispatchOptions::firstEjection},
+    {"rest-max", &DispatchOptions::maxEjection},
+    {"failures-in-row", &DispatchOptions::consecutiveFailures},
     {"error-weight", &DispatchOptions::errorWeight},
     {"silence-factor", &DispatchOptions::silenceFactor},
     {"silence-floor", &DispatchOptions::silenceFloor},
-    {"shared-bound-use", &DispatchOptions::sharedBoundUse},
-    {"neighbours-known-after", &DispatchOptions::neighboursKnownAfter},
+    {"shared-bound-use", &DispatchOptions::sharedBoundFraction},
+    {"neighbours-known-after", &DispatchOptions::peersKnownAfter},
     {"region-round-trip", &DispatchOptions::regionRoundTrip},
-    {"room-lifetime", &DispatchOptions::roomLifetime},
-    {"spill-share", &DispatchOptions::spillShare},
+    {"room-lifetime", &DispatchOptions::spareCapacityLifetime},
+    {"spill-share", &DispatchOptions::spillFraction},
     {"spill-burst", &DispatchOptions::spillBurst},
-    {"spill-memory", &DispatchOptions::spillMemory},
+    {"spill-memory", &DispatchOptions::spillAveragingTime},
 };
 
 const Descriptor *find(std::string_view name)
@@ -74,7 +74,7 @@
     return nullptr;
 }
 
-/// A number of at least 0.
+/// Parses a finite number of at least 0.
 std::optional<double> number(std::string_view text)
 {
     double value = 0;
--- a/Source/Core/Dispatch/OptionOverrides.h
+++ b/Source/Core/Dispatch/OptionOverrides.h
@@ -8,14 +8,14 @@
 
 namespace LaburnumChute::Dispatch {
 
-/// Sets options by name, for trials that compare a mechanism with its alternative.
+/// Overrides options by name, for experiments that compare a mechanism with an alternative.
 ///
-/// @param text "name=value,name=value"; times in milliseconds; empty changes nothing
-/// @returns the options so changed; InvalidArgument names the entry that cannot be used and what
-///          was expected
+/// @param text "name=value,name=value" with times in milliseconds; empty for no change
+/// @returns the changed options; InvalidArgument with the invalid entry and what was expected
+///        instead
 Common::Result<DispatchOptions> withOverrides(DispatchOptions options, std::string_view text);
 
-/// Names that withOverrides() knows, in the order of the options.
+/// Names accepted by withOverrides(), in the order of the options.
 std::vector<std::string> overridableOptions();
 
 } // namespace LaburnumChute::Dispatch
--- a/Source/Core/Dispatch/Options.h
+++ b/Source/Core/Dispatch/Options.h
@@ -6,125 +6,132 @@
 
 namespace LaburnumChute::Dispatch {
 
-/// All thresholds of the decisions on relayed requests.
+/// Thresholds of all decisions on relayed requests.
 struct DispatchOptions
 {
     // Prompts.
 
-    /// Tokens of a prompt that an engine reads in a millisecond, until answers have shown it.
+    /// Prompt tokens that an engine prefills per millisecond, until answers have been measured.
     double prefillRate = 40;
-    /// From sending a request whose prompt is cached to its first event, on an idle engine.
+    /// Time from sending a request with a cached prompt to its first event, on an idle engine.
     milliseconds firstEventFloor{25};
-    /// Part of an engine's time that reading prompts gets while it makes tokens for other requests,
-    /// until answers have shown it.
-    double readShare = 0.8;
-    /// The region's other instances are told at once of prompts of which an engine has to read this
-    /// much. Shorter ones come several times between two heartbeats and average out.
+    /// Fraction of an engine's time that prefill gets while the engine generates tokens for other
+    /// requests, until answers have been measured.
+    double prefillFraction = 0.8;
+    /// Prompts with at least this many uncached tokens are announced to the region's other
+    /// instances at once. Shorter ones come several times between two heartbeats and average out.
     std::int64_t noticeTokens = 1000;
-    /// Weights of the time that an answer takes to be made, and of the time for which reading its
-    /// prompt holds up the answers that the engine makes already, each as its part of the deadline
-    /// beside the first event's part of the objective. Above 1: an answer that misses its deadline
-    /// is lost, one whose first event is late is not.
+    /// Weights of the generation time of an answer, and of the time by which its prefill delays
+    /// answers that the engine already generates. Both are scaled by the ratio of the objective to
+    /// the deadline. Above 1, since an answer that misses its deadline is lost, while one whose
+    /// first event is late is not.
     double generationWeight = 8;
     double disturbanceWeight = 1.5;
-    /// Each request that runs beside it delays the first event of a request by so much.
+    /// Delay of a request's first event by each other request on the endpoint.
     Duration delayPerRunning = std::chrono::microseconds(1500);
-    /// Smallest part of a prompt that is worth copying between endpoints: less is read in the time
-    /// that it takes to set up a copy.
+    /// Smallest part of a prompt that is copied between endpoints: prefilling less takes no longer
+    /// than setting up a copy.
     std::int64_t copyMinimumTokens = 512;
-    /// What a copy adds to the wait.
+    /// Time that a copy adds to the wait.
     milliseconds copyTime{15};
-    /// The same from an endpoint of another region.
+    /// Time that a copy from an endpoint of another region adds to the wait.
     milliseconds copyTimeBetweenRegions{130};
-    /// What a copy costs beside its time, put in time: it displaces another part from the memory of
-    /// the engine that gets it, and where memory is short that part is read again later.
+    /// Cost of a copy in addition to its time: it evicts another part from the prefix cache of the
+    /// receiving engine, which has to prefill that part again later if cache space is short.
     milliseconds copyCost{150};
-    /// What a full endpoint costs beside an empty one, as each request slows all others there.
+    /// Cost of a full endpoint compared to an empty one: each request slows down all others on the
+    /// endpoint.
     milliseconds loadCost{60};
-    /// An endpoint whose record has lapsed is used when the others are this much slower.
+    /// Cost of an endpoint whose record has expired: it is used only if the others are slower by
+    /// more than this.
     milliseconds missingCost{80};
-    /// A prompt whose parts no endpoint is known to hold goes to the endpoint that all instances
-    /// compute for its first large part, unless that one is slower than the best by this much.
-    milliseconds homeTolerance{120};
-    /// Share of an endpoint's memory that is taken to hold cached parts; running requests have the
-    /// rest.
-    double cacheShare = 0.7;
-
-    // Places.
-
-    /// While an engine has less than this share of its slots in use, instances take any of them;
-    /// beyond it each keeps to its quota. The same for all instances, so that they fill a quarter
-    /// before any of them knows of the others.
-    double calmShare = 0.25;
-    /// A plain endpoint is sent more than it has places for, up to this share of the objective in
-    /// its own queue, and up to so many requests for each place.
-    double plainQueueShare = 0.4;
-    double plainQueueRounds = 2;
-
-    // Waiting.
-
-    /// A request is sent while the first event is expected within this share of the objective, and
-    /// before it. What waits here instead costs nothing should its caller leave, and goes to
-    /// whichever engine or region is free first.
-    double objectiveShare = 0.45;
-    /// A prompt that takes longer than the objective even on an idle engine is judged by what it
-    /// has to wait for others, as a share of the objective; else the largest would never be sent.
-    double waitShare = 0.1;
-    /// A request is let in to wait while its wait is expected within this share of the time that it
-    /// has for that. The rest is for errors: whoever is let in on the last place would be turned
-    /// away or late in the end.
-    double admissionShare = 0.8;
-    /// How far one step of priority moves a request in the queue. Strict order would starve the
-    /// lower kind under overload.
+    /// A prompt of which no endpoint of the region is known to have a large part cached goes to the
+    /// endpoint that rendezvous hashing selects for its first large part, which is the same on all
+    /// instances, unless the best endpoint's cost is lower by more than this.
+    milliseconds preferredTolerance{120};
+    /// Fraction of an endpoint's KV cache that is expected to hold cached parts; running requests
+    /// use the rest.
+    double cacheFraction = 0.7;
+
+    // Slots.
+
+    /// While a smaller fraction of an engine's slots is in use, instances take any slot; above it
+    /// each instance keeps to its quota. The same for all instances, so that together they fill a
+    /// quarter of the slots before they know of each other's requests.
+    double quotaThreshold = 0.25;
+    /// Limits of the number of requests that wait in the queue of a plain endpoint with no free
+    /// slot: the wait as a fraction of the objective, and the number per slot.
+    double plainQueueFraction = 0.4;
+    double plainQueuePerSlot = 2;
+
+    // Queueing.
+
+    /// A request is sent if its first event is expected before the objective and within this
+    /// fraction of it. A request that is held back here instead costs nothing if its caller leaves,
+    /// and it goes to the engine or region that is free first.
+    double objectiveFraction = 0.45;
+    /// A prompt that would miss the objective even on an idle engine is judged by its wait for
+    /// other requests, as a fraction of the objective; otherwise the largest prompts would never be
+    /// sent.
+    double waitFraction = 0.1;
+    /// A request is admitted to the queue if its expected wait is within this fraction of the time
+    /// that it may wait. The rest is a margin for estimation errors: a request admitted without it
+    /// may be rejected or late in the end.
+    double admissionFraction = 0.8;
+    /// Time by which one step of priority moves a request in the queue. Strict priority order would
+    /// starve the lower priorities under overload.
     milliseconds priorityStep{200};
-    /// Requests looked at in one round before the rest is taken to find no place either.
+    /// After this many requests of a service have not been sent in one pass, no endpoint is sought
+    /// for the rest.
     std::size_t lookAhead = 8;
-    /// Requests that wait at most, of all services: bounds memory.
+    /// Maximum number of queued requests over all services; bounds memory use.
     std::size_t queueLimit = 2000;
-    /// Bounds of what a rejected caller is told to wait. The lower one is the time in which the
-    /// load of an endpoint changes, the upper one what callers with a few seconds left still
-    /// honour.
+    /// Bounds of the retry delay of rejected requests. The load of an endpoint changes within the
+    /// lower bound; callers with a few seconds left can still wait for the upper one.
     milliseconds retryAfterMin{300};
     milliseconds retryAfterMax{2000};
-    /// Callers are told times spread by this share, so that they do not come back together.
+    /// Random fraction by which retry delays vary, so that rejected callers do not return together.
     double retryAfterJitter = 0.3;
 
-    // Endpoints that fail.
+    // Failing endpoints.
 
-    /// An endpoint that refused a connection rests this long; doubled up to the maximum.
-    milliseconds restFirst{250};
-    milliseconds restMax{2000};
-    /// Broken or silent tries in a row that make an endpoint rest.
-    int failuresInRow = 3;
-    /// Weight of one answer in an endpoint's share of errors.
+    /// Ejection time of an endpoint that refused a connection; doubled up to the maximum.
+    milliseconds firstEjection{250};
+    milliseconds maxEjection{2000};
+    /// Consecutive broken or silent attempts after which an endpoint is ejected.
+    int consecutiveFailures = 3;
+    /// Weight of one answer in an endpoint's error rate.
     double errorWeight = 0.08;
-    /// A repeatable request without an answer is taken off its endpoint after this many times the
-    /// expected wait, but not before the floor. Long tails of plain calls are five times the mean.
+    /// A repeatable request without an answer is cancelled on its endpoint after this multiple of
+    /// the expected wait, but not before the floor. The slowest plain calls take five times the
+    /// mean.
     double silenceFactor = 5;
     milliseconds silenceFloor{700};
 
-    // Shared bounds.
+    // Limits shared by all instances.
 
-    /// Share of a bound that holds for all instances together which they use in all: their views of
-    /// each other differ for a heartbeat or two.
-    double sharedBoundUse = 0.7;
-    /// A process that has just started knows its neighbours after this long: they answer its first
-    /// heartbeat within milliseconds, and those that start with it follow within a few intervals.
-    milliseconds neighboursKnownAfter{1500};
+    /// Fraction that all instances together use of a limit that applies to all of them: their
+    /// information about each other may be a heartbeat or two old.
+    double sharedBoundFraction = 0.7;
+    /// Time after which a newly started process knows its peers: they answer its first heartbeat
+    /// within milliseconds, and peers that start at the same time follow within a few heartbeat
+    /// intervals.
+    milliseconds peersKnownAfter{1500};
 
     // Other regions.
 
-    /// Time from here to another region's instance and back, beside its wait.
+    /// Round trip time to an instance of another region, without the wait there.
     milliseconds regionRoundTrip{120};
-    /// What another region tells of its room counts for this long.
-    milliseconds roomLifetime{1500};
-    /// Share of another region's free rate that the instances of this one use, and for how long
-    /// they may save it up: about the interval of the reports.
-    double spillShare = 0.5;
+    /// Time for which another region's report of its spare capacity is valid.
+    milliseconds spareCapacityLifetime{1500};
+    /// Fraction of another region's spare request rate that the instances of this region use, and
+    /// the time for which they may accumulate it, which is about the report interval.
+    double spillFraction = 0.5;
     milliseconds spillBurst{500};
-    /// The rate at which an instance sends to another region is averaged over this time: the age of
-    /// the reports. Shorter, the rate would swing; longer, a peak of a few seconds would be over.
-    milliseconds spillMemory{500};
+    /// Averaging time of the rate at which an instance sends to another region: the age of the
+    /// reports. A shorter time would make the rate oscillate; with a longer one, a peak of a few
+    /// seconds would be over before the rate has adapted.
+    milliseconds spillAveragingTime{500};
 };
 
 } // namespace LaburnumChute::Dispatch
--- a/Source/Core/Dispatch/Placement.h
+++ b/Source/Core/Dispatch/Placement.h
@@ -6,15 +6,15 @@
 #include <vector>
 
 #include "Dispatch/Call.h"
-#include "Dispatch/EndpointBook.h"
+#include "Dispatch/EndpointTable.h"
 
 namespace LaburnumChute::Dispatch {
 
-/// An endpoint on which a request could be placed, and what is expected there.
+/// An endpoint that a request could be sent to, with the expected times and cost.
 struct Candidate
 {
     EndpointState *endpoint = nullptr;
-    /// Until the first event, and the part of it that the endpoint's other work takes.
+    /// Time until the first event, and the part of it that is caused by other work of the endpoint.
     Duration expected{0};
     Duration wait{0};
     double cost = 0;
@@ -22,37 +22,38 @@
     std::optional<std::string> copyFrom;
 };
 
-/// Chooses the endpoint of the own region for a request.
+/// Chooses an endpoint of the own region for a request.
 ///
-/// Load pattern: long prompts with large shared parts beside many short ones. A request goes where
-/// its first event is expected first, where prompts that wait to be read there, parts of this
-/// prompt that are not in its memory, and its past slowness count.
+/// Load pattern: long prompts with large shared parts beside many short ones. A request is sent
+/// where its first event is expected first. The expected time depends on the endpoint's prefill
+/// queue, on the parts of the prompt that are missing in its prefix cache, and on its past
+/// slowness.
 class Placement
 {
 public:
-    /// @param startedAt start of this process
-    Placement(const DispatchOptions &options, EndpointBook &book, InstanceId self,
+    /// @param startedAt start time of this process
+    Placement(const DispatchOptions &options, EndpointTable &table, InstanceId self,
               std::uint64_t seed, Time startedAt);
 
     void setBounds(const Catalog::Bounds &bounds);
-    /// Live instances of the own region, this one among them.
+    /// Live instances of the own region, including this one.
     void setInstances(const std::vector<InstanceId> &instances);
 
     std::optional<Candidate> choose(const Call &call, Time now);
-    /// Whether the request is sent there now rather than later, or elsewhere.
-    bool fits(const Call &call, const Candidate &candidate, Time now) const;
-    /// How long the engine's other work delays a request.
+    /// Whether to send the request to the candidate now, rather than queue or forward it.
+    bool shouldSend(const Call &call, const Candidate &candidate, Time now) const;
+    /// Delay of a request by the engine's other work.
     Duration engineWait(const EndpointState &endpoint, Time now) const;
-    /// What a call takes on a plain endpoint, its wait included.
+    /// Duration of a call on a plain endpoint, including its wait.
     Duration plainWait(const EndpointState &endpoint) const;
 
 private:
-    /// Who holds the most of a prompt.
-    struct Holder
+    /// The endpoint that has most of a prompt in its prefix cache.
+    struct CacheHolder
     {
-        /// Empty when nobody holds any of it.
+        /// Empty if no endpoint has any of it.
         std::string address;
-        /// Null for one of another region.
+        /// Null for an endpoint of another region.
         const EndpointState *endpoint = nullptr;
         std::int64_t tokens = 0;
     };
@@ -60,25 +61,25 @@
     /// @param position of the endpoint among those of its service
     bool available(const EndpointState &endpoint, std::size_t position,
                    const Catalog::Service &service, const Call &call, Time now) const;
-    bool hasRoom(const EndpointState &endpoint, std::size_t position,
-                 const Catalog::Service &service, const Call &call, Time now) const;
+    bool hasSpareCapacity(const EndpointState &endpoint, std::size_t position,
+                          const Catalog::Service &service, const Call &call, Time now) const;
     double tieBreak(const EndpointState &endpoint);
     Candidate evaluate(EndpointState &endpoint, const Catalog::Service &service, const Call &call,
-                       const Holder &holder, Time now);
-    double generationCost(const EndpointState &endpoint, const Call &call, Duration reading,
+                       const CacheHolder &holder, Time now);
+    double generationCost(const EndpointState &endpoint, const Call &call, Duration prefill,
                           Time now) const;
-    Holder holderOf(const Call &call, Time now) const;
-    const EndpointState *homeEndpoint(const Call &call) const;
+    CacheHolder cacheHolder(const Call &call, Time now) const;
+    const EndpointState *preferredEndpoint(const Call &call) const;
     int coldQuota(const EndpointState &endpoint, const Catalog::Service &service) const;
 
     const DispatchOptions *options_;
-    EndpointBook *book_;
+    EndpointTable *table_;
     InstanceId self_;
     std::mt19937_64 random_;
     Time startedAt_;
     Catalog::Bounds bounds_;
     std::vector<InstanceId> instances_;
-    /// Of this instance among them, by id.
+    /// Rank of this instance among them, ordered by id.
     std::size_t rank_ = 0;
 };
 
--- a/Source/Core/Dispatch/PartCache.cpp
+++ b/Source/Core/Dispatch/PrefixCache.cpp
@@ -1,19 +1,19 @@
-#include "Dispatch/PartCache.h"
+#include "Dispatch/PrefixCache.h"
 
 namespace LaburnumChute::Dispatch {
 
-PartCache::PartCache(std::int64_t capacityTokens)
+PrefixCache::PrefixCache(std::int64_t capacityTokens)
     : capacity_(capacityTokens)
 {
 }
 
-void PartCache::setCapacity(std::int64_t tokens)
+void PrefixCache::setCapacity(std::int64_t tokens)
 {
     capacity_ = tokens;
     evict();
 }
 
-void PartCache::use(const Dialect::PromptPart &part)
+void PrefixCache::use(const Dialect::PromptPart &part)
 {
     const auto found = byId_.find(part.id);
     if (found != byId_.end()) {
@@ -22,20 +22,19 @@
     }
     order_.push_front(part);
     byId_[part.id] = order_.begin();
-    held_ += part.tokens;
+    cachedTokens_ += part.tokens;
     evict();
 }
 
-void PartCache::use(const std::vector<Dialect::PromptPart> &parts)
+void PrefixCache::use(const std::vector<Dialect::PromptPart> &parts)
 {
-    // From the last to the first: a part without those before it is worth nothing, so that the
-    // first one has to be the last to yield.
+    // In reverse order, so that the first part is evicted last: later parts are useless without it.
     for (auto left = parts.size(); left > 0; --left) {
         use(parts[left - 1]);
     }
 }
 
-std::int64_t PartCache::cachedTokens(const std::vector<Dialect::PromptPart> &parts) const
+std::int64_t PrefixCache::cachedTokens(const std::vector<Dialect::PromptPart> &parts) const
 {
     std::int64_t tokens = 0;
     for (const auto &part : parts) {
@@ -47,22 +46,22 @@
     return tokens;
 }
 
-std::vector<Dialect::PromptPart> PartCache::parts() const
+std::vector<Dialect::PromptPart> PrefixCache::parts() const
 {
     return {order_.rbegin(), order_.rend()};
 }
 
-void PartCache::clear()
+void PrefixCache::clear()
 {
     order_.clear();
     byId_.clear();
-    held_ = 0;
+    cachedTokens_ = 0;
 }
 
-void PartCache::evict()
+void PrefixCache::evict()
 {
-    while (held_ > capacity_ && !order_.empty()) {
-        held_ -= order_.back().tokens;
+    while (cachedTokens_ > capacity_ && !order_.empty()) {
+        cachedTokens_ -= order_.back().tokens;
         byId_.erase(order_.back().id);
         order_.pop_back();
     }
--- a/Source/Core/Dispatch/PartCache.h
+++ b/Source/Core/Dispatch/PrefixCache.h
@@ -9,21 +9,22 @@
 
 namespace LaburnumChute::Dispatch {
 
-/// What an endpoint's memory is thought to hold: parts of prompts, the least recently used of which
-/// yield. Made of what was sent there, since endpoints tell of their memory late and at a price.
-class PartCache
+/// Estimated contents of an endpoint's prefix cache: parts of prompts in least-recently-used order.
+/// Derived from the requests that were sent to the endpoint, since asking endpoints for their cache
+/// contents is expensive and the answers are late.
+class PrefixCache
 {
 public:
-    explicit PartCache(std::int64_t capacityTokens = 0);
+    explicit PrefixCache(std::int64_t capacityTokens = 0);
 
     void setCapacity(std::int64_t tokens);
-    /// The endpoint reads these parts, or has them already.
+    /// Records that the endpoint prefills these parts or has them cached already.
     void use(const std::vector<Dialect::PromptPart> &parts);
     void use(const Dialect::PromptPart &part);
-    /// Tokens from the start of the prompt that need not be read again: a part counts only when all
-    /// before it are held too.
+    /// Number of tokens at the start of the prompt that are cached: a part counts only if all parts
+    /// before it are cached too.
     std::int64_t cachedTokens(const std::vector<Dialect::PromptPart> &parts) const;
-    /// The least recently used first.
+    /// Ordered from the least to the most recently used.
     std::vector<Dialect::PromptPart> parts() const;
     void clear();
 
@@ -31,8 +32,8 @@
     void evict();
 
     std::int64_t capacity_;
-    std::int64_t held_ = 0;
-    /// The most recently used first.
+    std::int64_t cachedTokens_ = 0;
+    /// Ordered from the most to the least recently used.
     std::list<Dialect::PromptPart> order_;
     std::unordered_map<std::uint64_t, std::list<Dialect::PromptPart>::iterator> byId_;
 };
--- a/Source/Core/Dispatch/RateLimit.cpp
+++ b/Source/Core/Dispatch/RateLimit.cpp
@@ -13,8 +13,8 @@
 constexpr double MinPerSecond = 0.25;
 /// Time in which an empty bucket fills up; a bucket holds at least one request.
 constexpr double BurstSeconds = 0.25;
-/// Determine how many instances share a limit. One request saved up by each of them, plus what the
-/// limit allows in 4 s, stays below 1.5 times what it allows in 4 s plus 5.
+/// Determine how many instances share a limit. One accumulated request for each of them, plus what
+/// the limit allows in 4 s, stays below 1.5 times what it allows in 4 s plus 5.
 constexpr double BaseHolders = 4;
 constexpr double HoldersPerRequestPerSecond = 1.5;
 /// Added to the demand of every instance, so that one that has just begun to send gets a fraction.
--- a/Source/Core/Dispatch/RateLimit.h
+++ b/Source/Core/Dispatch/RateLimit.h
@@ -30,7 +30,7 @@
 
 /// Fraction of an endpoint's rate limit that an instance may use, from 0 to 1.
 ///
-/// Each instance with a fraction above 0 may have a request saved up, so their number is capped
+/// Each instance with a fraction above 0 may accumulate one request, so their number is capped
 /// depending on the limit; the others send nothing. Fractions are weighted by demand.
 /// @param demands of the live instances of the region, including the instance itself
 double limitFraction(const EndpointId &endpoint, const InstanceId &instance, double perSecond,
--- a/Source/Core/Dispatch/ReadingQueue.cpp
+++ b/Source/Core/Dispatch/ReadingQueue.cpp
@@ -7,35 +7,35 @@
 
 namespace {
 
-/// Prompts remembered at most: an engine that has so many is full.
+/// Maximum number of prompts in the queue: an engine with this many is full.
 constexpr std::size_t MaxPrompts = 128;
-/// Prompts that should have been read are kept this long for the one whose first event comes later.
-constexpr seconds LongestReading{2};
+/// Prompts whose prefill should be complete are kept this long, in case their first event is late.
+constexpr seconds PrefilledRetention{2};
 
 } // namespace
 
-void ReadingQueue::drain(Time now)
+void PrefillQueue::drain(Time now)
 {
-    auto passed = std::max(Duration(0), now - drainedAt_);
+    auto elapsed = std::max(Duration(0), now - drainedAt_);
     drainedAt_ = std::max(drainedAt_, now);
     for (auto &prompt : prompts_) {
-        const auto read = std::min(passed, prompt.left);
-        prompt.left -= read;
-        total_ -= read;
-        passed -= read;
+        const auto prefilled = std::min(elapsed, prompt.remaining);
+        prompt.remaining -= prefilled;
+        total_ -= prefilled;
+        elapsed -= prefilled;
     }
     forgetOld(now);
 }
 
-void ReadingQueue::forgetOld(Time now)
+void PrefillQueue::forgetOld(Time now)
 {
-    while (!prompts_.empty() && prompts_.front().left <= Duration(0)
-           && now - prompts_.front().sentAt > LongestReading) {
+    while (!prompts_.empty() && prompts_.front().remaining <= Duration(0)
+           && now - prompts_.front().sentAt > PrefilledRetention) {
         prompts_.pop_front();
     }
 }
 
-void ReadingQueue::add(Time sentAt, Duration work)
+void PrefillQueue::add(Time sentAt, Duration work)
 {
     drain(sentAt);
     if (prompts_.size() >= MaxPrompts) {
@@ -45,38 +45,38 @@
     total_ += work;
 }
 
-std::optional<ReadingSpan> ReadingQueue::readUpTo(Time sentAt, Time now)
+std::optional<BusyPeriod> PrefillQueue::prefilledUpTo(Time sentAt, Time now)
 {
     drain(now);
-    ReadingSpan span;
+    BusyPeriod period;
     while (!prompts_.empty() && prompts_.front().sentAt <= sentAt) {
-        span.expected += prompts_.front().work;
-        total_ -= prompts_.front().left;
+        period.expected += prompts_.front().work;
+        total_ -= prompts_.front().remaining;
         prompts_.pop_front();
     }
-    const auto readBefore = std::exchange(readAt_, now);
-    if (!readBefore || *readBefore <= sentAt) {
+    const auto previous = std::exchange(lastPrefilledAt_, now);
+    if (!previous || *previous <= sentAt) {
         return std::nullopt;
     }
-    span.took = now - *readBefore;
-    return span;
+    period.took = now - *previous;
+    return period;
 }
 
-void ReadingQueue::remove(Time sentAt, Time now)
+void PrefillQueue::remove(Time sentAt, Time now)
 {
     drain(now);
     const auto found = std::find_if(prompts_.begin(), prompts_.end(),
                                     [&](const Prompt &prompt) { return prompt.sentAt == sentAt; });
     if (found != prompts_.end()) {
-        total_ -= found->left;
+        total_ -= found->remaining;
         prompts_.erase(found);
     }
 }
 
-Duration ReadingQueue::wait(Time now) const
+Duration PrefillQueue::wait(Time now) const
 {
-    const auto passed = std::max(Duration(0), now - drainedAt_);
-    return std::max(Duration(0), total_ - passed);
+    const auto elapsed = std::max(Duration(0), now - drainedAt_);
+    return std::max(Duration(0), total_ - elapsed);
 }
 
 } // namespace LaburnumChute::Dispatch
--- a/Source/Core/Dispatch/ReadingQueue.h
+++ b/Source/Core/Dispatch/ReadingQueue.h
@@ -7,55 +7,58 @@
 
 namespace LaburnumChute::Dispatch {
 
-/// A time in which an engine read prompts without a pause.
-struct ReadingSpan
+/// A period in which an engine prefilled prompts without a pause.
+struct BusyPeriod
 {
     Duration expected{0};
     Duration took{0};
 };
 
-/// Prompts that wait to be read at one engine, of this instance and of the region's others.
+/// Prompts waiting for prefill on one engine, from this instance and the region's other instances.
 ///
-/// Load pattern: long prompts among many short ones, sent by many instances. An engine reads
-/// prompts one after the other, so that what all of them have sent decides when the next one
-/// begins. Added up from the sums that instances tell at intervals, the wait would be too short
-/// where two of them sent something (each lets its own part run off in full) and too long where the
-/// sums are old.
-class ReadingQueue
+/// Load pattern: long prompts among many short ones, sent by many instances. An engine prefills
+/// prompts one after the other, so the prompts of all instances determine when the next one starts.
+/// If the instances instead reported their sums at intervals, the total wait would be too short
+/// when several of them have prompts there (each sum would be counted down at the engine's full
+/// speed) and too long when the sums are old.
+class PrefillQueue
 {
 public:
-    /// @param work time that the engine takes for it beside its other work
+    /// @param work time that the prefill takes on an engine that also generates tokens
     void add(Time sentAt, Duration work);
-    /// The first event of a prompt sent at that time has come, so all before it has been read.
+    /// Records the first event of the prompt that was sent at sentAt: all prompts before it have
+    /// been prefilled.
     ///
-    /// @returns when the prompt waited for another one to be read: how long all that was read since
-    ///          then should have taken, and how long it took
-    std::optional<ReadingSpan> readUpTo(Time sentAt, Time now);
-    /// The prompt sent at that time is not read any more, or was read out of turn.
+    /// @returns if the prompt had to wait for another prefill: expected and actual duration of the
+    ///        prefills since that one
+    std::optional<BusyPeriod> prefilledUpTo(Time sentAt, Time now);
+    /// Removes the prompt that was sent at sentAt, because it was cancelled or prefilled out of
+    /// order.
     void remove(Time sentAt, Time now);
-    /// Until all of them have been read.
+    /// Time until all prompts are prefilled.
     Duration wait(Time now) const;
 
 private:
     struct Prompt
     {
         Time sentAt{};
-        Duration left{0};
+        Duration remaining{0};
         Duration work{0};
     };
 
-    /// Lets the time run off that has passed.
+    /// Accounts for the time that has passed.
     void drain(Time now);
 
     void forgetOld(Time now);
 
-    /// In the order in which they were sent; some may have been read without a word of it.
+    /// In the order in which they were sent. Some may already be prefilled without a known first
+    /// event.
     std::deque<Prompt> prompts_;
-    /// Of those that are not read yet.
+    /// Work of the prompts that are not prefilled yet.
     Duration total_{0};
     Time drainedAt_{};
-    /// When the last prompt was known to be read.
-    std::optional<Time> readAt_;
+    /// When the last prompt is known to have been prefilled.
+    std::optional<Time> lastPrefilledAt_;
 };
 
 } // namespace LaburnumChute::Dispatch
--- a/Source/Core/Dispatch/RegionRooms.h
+++ b/Source/Core/Dispatch/RegionRooms.h
@@ -4,29 +4,30 @@
 #include <optional>
 #include <vector>
 
+#include "Dispatch/LoadReports.h"
 #include "Dispatch/Options.h"
-#include "Dispatch/Shares.h"
 
 namespace LaburnumChute::Dispatch {
 
-/// What other regions could take, as their instances tell it.
+/// Spare capacity of other regions, according to their instances' load reports.
 ///
-/// Load pattern: the peaks of the regions differ, and one region's slack covers another's rush.
-/// What is known of a region is half a second old. If all instances sent there what they see free,
-/// each would fill it alone, the region would turn the rest away, and the next report would turn
-/// the stream off: so each has a bucket that fills with its part of the rate that the region has
-/// free, beside the rate at which it sends there already. Without the latter the rate would come to
-/// rest at a small part of what is left, while callers are turned away here.
-class RegionRooms
+/// Load pattern: regions have their peaks at different times, so one has spare capacity while
+/// another is overloaded. Load reports are half a second old. If all instances used the whole
+/// reported capacity, each would fill it alone, the region would reject the rest, and its next
+/// report would stop the traffic. Each instance therefore has a token bucket that fills at its
+/// fraction of the region's spare rate plus the rate at which it already sends there. Without the
+/// latter the rate would settle at a small fraction of the spare capacity while callers are
+/// rejected here.
+class SpareCapacity
 {
 public:
-    explicit RegionRooms(const DispatchOptions &options);
+    explicit SpareCapacity(const DispatchOptions &options);
 
     void update(const RegionName &region, const InstanceId &reporter,
-                const CrossRegionLoadReport &share, Time now);
-    /// Regions in which some instance can be reached.
+                const CrossRegionLoadReport &report, Time now);
+    /// Regions with at least one reachable instance.
     void setReachable(std::vector<RegionName> regions);
-    /// Instances of the own region among which free places are divided.
+    /// Number of instances of the own region among which spare capacity is divided.
     void setOwnInstances(std::size_t count);
 
     struct Offer
@@ -35,10 +36,10 @@
         Duration wait{0};
     };
 
-    /// The region among those allowed with the shortest wait; none has room to spare: nothing.
+    /// The allowed region with the shortest wait; empty if none has spare capacity.
     std::optional<Offer> best(const ServiceName &service, const std::vector<RegionName> &allowed,
                               const std::vector<RegionName> &excluded, Time now);
-    /// As best(), but any region with an endpoint will do.
+    /// Like best(), but includes all regions with an endpoint for the service.
     std::optional<Offer> any(const ServiceName &service, const std::vector<RegionName> &allowed,
                              const std::vector<RegionName> &excluded, Time now);
     void sent(const RegionName &region, const ServiceName &service, Time now);
@@ -46,16 +47,16 @@
 private:
     struct Report
     {
-        ServiceRoom room;
+        ServiceSpareCapacity capacity;
         Time at{};
     };
-    struct Room
+    struct Destination
     {
         std::map<InstanceId, Report> reports;
         /// Requests that this instance may send now.
         double allowance = 0;
         Time filledAt{};
-        /// Requests a second that this instance has sent, averaged.
+        /// Moving average of the requests per second that this instance sends.
         double sentPerSecond = 0;
     };
     using Key = std::pair<RegionName, std::uint32_t>;
@@ -67,13 +68,13 @@
         bool hasEndpoint = false;
     };
 
-    Summary summarize(const Room &room, Time now) const;
-    void fill(Room &room, Time now) const;
+    Summary summarize(const Destination &destination, Time now) const;
+    void fill(Destination &destination, Time now) const;
     bool eligible(const RegionName &region, const std::vector<RegionName> &allowed,
                   const std::vector<RegionName> &excluded) const;
 
     const DispatchOptions *options_;
-    std::map<Key, Room> rooms_;
+    std::map<Key, Destination> destinations_;
     std::vector<RegionName> reachable_;
     std::size_t ownInstances_ = 1;
 };
--- a/Source/Core/Dispatch/RetryBudget.h
+++ b/Source/Core/Dispatch/RetryBudget.h
@@ -6,22 +6,24 @@
 
 namespace LaburnumChute::Dispatch {
 
-/// How many requests of one service may be sent once more.
+/// Limits how many requests of one service are retried.
 ///
-/// Load pattern: endpoints fail a large share of what they get, and each failure is sent again.
-/// Without a bound the tries multiply just when the endpoints can take least, and a short failure
-/// becomes a long one. The bound is a share of the requests in a window and a fixed number, for all
-/// instances together; each takes the share of its own requests and an equal part of the number.
+/// Load pattern: endpoints fail a large fraction of their requests, and each failure is retried.
+/// Without a limit the number of attempts multiplies just when the endpoints can handle the fewest,
+/// and a short failure becomes a long one. The limit is a ratio to the requests in a time window
+/// plus a fixed number (the slack), for all instances together; each instance applies the ratio to
+/// its own requests and gets an equal part of the slack.
 class RetryBudget
 {
 public:
     RetryBudget(double ratio, double slack, Duration window);
 
-    /// Bounds may change with the settings, the part of the slack with the fleet.
+    /// The limits change with the settings, and this instance's part of the slack changes with the
+    /// number of instances.
     void setBounds(double ratio, double slack, Duration window);
     void request(Time now);
     bool available(Time now);
-    /// Takes one more send; false when none is left.
+    /// Uses one retry of the budget; false if none is left.
     bool take(Time now);
 
 private:
--- a/Source/Core/Dispatch/Scheduler.cpp
+++ b/Source/Core/Dispatch/Scheduler.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-/// Prompt of the request for which other regions are told the wait.
+/// Prompt length for which the wait reported to other regions is computed.
 constexpr std::int64_t NominalTokens = 400;
-/// An endpoint that is replaced is back within some seconds.
+/// An endpoint that is being replaced returns within a few seconds.
 constexpr milliseconds NoEndpointRetryAfter{700};
 /// Bounds the size of a heartbeat.
-constexpr std::size_t MaxSuspectsShared = 16;
+constexpr std::size_t MaxReportedSuspects = 16;
 
 } // namespace
 
@@ -48,7 +48,7 @@
         return "no endpoint";
     case RejectReason::Quarantined:
         return "quarantined";
-    case RejectReason::TriesUsed:
+    case RejectReason::AttemptsUsed:
         return "tries used";
     }
     return "unknown";
@@ -60,68 +60,68 @@
     , self_(std::move(self))
     , home_(std::move(home))
     , random_(seed)
-    , book_(options_)
-    , rooms_(options_)
+    , table_(options_)
+    , spareCapacity_(options_)
     , quarantine_(Decisions::QuarantineOptions())
-    , placement_(options_, book_, self_, seed + 1, startedAt)
-    , health_(options_, book_, quarantine_)
+    , placement_(options_, table_, self_, seed + 1, startedAt)
+    , health_(options_, table_, quarantine_)
     , instances_({self_})
 {
 }
 
-// What is known.
+// Information about endpoints, instances and regions.
 
 Effects Scheduler::setServices(const std::map<ServiceName, Catalog::Service> &services, Time now)
 {
-    book_.setServices(services);
+    table_.setServices(services);
     Effects effects;
-    pump(now, effects);
+    dispatchQueue(now, effects);
     return effects;
 }
 
 Effects Scheduler::setEndpoints(const std::vector<Catalog::ListedEndpoint> &endpoints,
                                 const std::set<Common::FailureDomainName> &evacuated, Time now)
 {
-    book_.setEndpoints(endpoints, evacuated, now);
+    table_.setEndpoints(endpoints, evacuated, now);
     Effects effects;
-    pump(now, effects);
+    dispatchQueue(now, effects);
     return effects;
 }
 
 void Scheduler::setRemoteEndpoints(const std::vector<Catalog::ListedEndpoint> &endpoints)
 {
-    book_.setRemoteEndpoints(endpoints);
+    table_.setRemoteEndpoints(endpoints);
 }
 
 void Scheduler::setCache(const EndpointId &endpoint, const std::vector<Dialect::PromptPart> &parts,
                          Time now)
 {
-    if (auto *state = book_.find(endpoint)) {
+    if (auto *state = table_.find(endpoint)) {
         for (const auto &part : parts) {
             state->cache.use(part);
         }
-        book_.placed(*state, parts, now);
+        table_.placed(*state, parts, now);
     }
 }
 
 std::vector<PartPlacement> Scheduler::caches() const
 {
-    return book_.caches();
+    return table_.caches();
 }
 
 void Scheduler::learnCaches(const std::vector<PartPlacement> &placements)
 {
-    book_.learn(placements);
+    table_.learn(placements);
 }
 
 std::vector<Catalog::EndpointRecord> Scheduler::enginesToPoll() const
 {
     std::vector<Catalog::EndpointRecord> records;
-    for (const auto &[name, service] : book_.services()) {
+    for (const auto &[name, service] : table_.services()) {
         if (!service.engine) {
             continue;
         }
-        for (const auto *endpoint : book_.usable(name)) {
+        for (const auto *endpoint : table_.usable(name)) {
             const auto &record = endpoint->listed.record;
             const auto weight = [&](const InstanceId &instance) {
                 return Common::rendezvousWeight(record.id.text(), instance.text());
@@ -142,7 +142,7 @@
 {
     bounds_ = bounds;
     placement_.setBounds(bounds);
-    boundBudgets();
+    updateRetryBudgets();
 }
 
 void Scheduler::setFleet(const std::vector<InstanceId> &ownRegion, std::size_t allInstances,
@@ -151,20 +151,20 @@
     instances_ = ownRegion;
     placement_.setInstances(instances_);
     allInstances_ = std::max<std::size_t>(1, allInstances);
-    book_.keepShares(instances_);
-    rooms_.setOwnInstances(instances_.size());
-    rooms_.setReachable(reachableRegions);
-    boundBudgets();
+    table_.keepReports(instances_);
+    spareCapacity_.setOwnInstances(instances_.size());
+    spareCapacity_.setReachable(reachableRegions);
+    updateRetryBudgets();
 }
 
 double Scheduler::retrySlack() const
 {
-    return bounds_.retrySlack * options_.sharedBoundUse / static_cast<double>(allInstances_);
+    return bounds_.retrySlack * options_.sharedBoundFraction / static_cast<double>(allInstances_);
 }
 
-void Scheduler::boundBudgets()
+void Scheduler::updateRetryBudgets()
 {
-    const double ratio = bounds_.retryRatio * options_.sharedBoundUse;
+    const double ratio = bounds_.retryRatio * options_.sharedBoundFraction;
     for (auto &[service, budget] : budgets_) {
         budget.setBounds(ratio, retrySlack(), bounds_.retryWindow);
     }
@@ -172,11 +172,11 @@
 
 RetryBudget &Scheduler::budget(const ServiceName &service)
 {
-    const double ratio = bounds_.retryRatio * options_.sharedBoundUse;
+    const double ratio = bounds_.retryRatio * options_.sharedBoundFraction;
     return budgets_.try_emplace(service, ratio, retrySlack(), bounds_.retryWindow).first->second;
 }
 
-void Scheduler::mergeSuspects(const std::vector<SuspectShare> &suspects, Time now)
+void Scheduler::mergeSuspects(const std::vector<SuspectReport> &suspects, Time now)
 {
     std::vector<Decisions::SuspectNotice> notices;
     for (const auto &suspect : suspects) {
@@ -191,20 +191,20 @@
     quarantine_.merge(notices, now);
 }
 
-Effects Scheduler::setRegionLoadReport(const InstanceId &instance, const RegionLoadReport &share,
+Effects Scheduler::setRegionLoadReport(const InstanceId &instance, const RegionLoadReport &report,
                                        Time now)
 {
-    book_.setShare(instance, share, now);
-    mergeSuspects(share.suspects, now);
+    table_.setLoadReport(instance, report, now);
+    mergeSuspects(report.suspects, now);
     Effects effects;
-    pump(now, effects);
+    dispatchQueue(now, effects);
     return effects;
 }
 
 void Scheduler::learn(const PromptNotices &notices, Time now)
 {
     for (const auto &prompt : notices.prompts) {
-        book_.learn(notices.sender, prompt, now);
+        table_.learn(notices.sender, prompt, now);
     }
 }
 
@@ -217,15 +217,16 @@
 {
     const auto &parts = call.facts.parts;
     PromptNotice notice;
-    // The last part is the request's own: nobody else asks for it.
+    // The last part belongs to this request only.
     for (std::size_t index = 0; index + 1 < parts.size(); ++index) {
         if (parts[index].tokens >= options_.copyMinimumTokens) {
             notice.parts.push_back(
                 {parts[index].id, static_cast<std::uint32_t>(parts[index].tokens)});
         }
     }
-    const bool worthTelling = call.prefillTokens >= options_.noticeTokens || !notice.parts.empty();
-    if (!worthTelling || instances_.size() < 2) {
+    const bool worthReporting =
+        call.prefillTokens >= options_.noticeTokens || !notice.parts.empty();
+    if (!worthReporting || instances_.size() < 2) {
         return;
     }
     notice.endpoint = shortId(endpoint.listed.record.id);
@@ -235,84 +236,84 @@
 }
 
 void Scheduler::setCrossRegionLoadReport(const RegionName &region, const InstanceId &instance,
-                                         const CrossRegionLoadReport &share, Time now)
+                                         const CrossRegionLoadReport &report, Time now)
 {
-    rooms_.update(region, instance, share, now);
-    book_.setRemotePlacements(share.placements);
-    mergeSuspects(share.suspects, now);
+    spareCapacity_.update(region, instance, report, now);
+    table_.setRemotePlacements(report.placements);
+    mergeSuspects(report.suspects, now);
 }
 
 RegionLoadReport Scheduler::regionLoadReport(Time now)
 {
-    auto share = book_.share(now);
-    for (const auto &[name, service] : book_.services()) {
-        const auto waits = backlog(name);
+    auto report = table_.loadReport(now);
+    for (const auto &[name, service] : table_.services()) {
+        const auto queued = backlog(name);
         ServiceWork work;
         work.service = shortId(name);
-        work.waiting = static_cast<std::uint16_t>(waits.calls);
+        work.waiting = static_cast<std::uint16_t>(queued.calls);
         work.waitingMs = static_cast<std::uint32_t>(
-            std::chrono::duration_cast<milliseconds>(waits.work).count());
+            std::chrono::duration_cast<milliseconds>(queued.work).count());
         work.sentPerSecond =
-            static_cast<std::uint16_t>(std::lround(book_.sentPerSecond(name, now)));
+            static_cast<std::uint16_t>(std::lround(table_.sentPerSecond(name, now)));
         if (work.waiting > 0 || work.sentPerSecond > 0) {
-            share.services.push_back(work);
+            report.services.push_back(work);
         }
     }
     for (const auto &notice : quarantine_.notices(now)) {
-        if (share.suspects.size() >= MaxSuspectsShared) {
+        if (report.suspects.size() >= MaxReportedSuspects) {
             break;
         }
-        SuspectShare suspect;
+        SuspectReport suspect;
         suspect.fingerprint = notice.fingerprint;
         const auto age = std::chrono::duration_cast<milliseconds>(notice.age);
         suspect.ageMs = static_cast<std::uint32_t>(age.count());
         for (const auto &death : notice.deaths) {
             suspect.deaths.push_back(death.text());
         }
-        share.suspects.push_back(std::move(suspect));
+        report.suspects.push_back(std::move(suspect));
     }
-    return share;
+    return report;
 }
 
 CrossRegionLoadReport Scheduler::crossRegionLoadReport(Time now)
 {
-    CrossRegionLoadReport share;
-    book_.refreshLoad(now);
+    CrossRegionLoadReport report;
+    table_.refreshLoad(now);
     auto own = regionLoadReport(now);
-    share.suspects = std::move(own.suspects);
-    share.placements = book_.placementsForElsewhere(now);
-    for (const auto &[name, service] : book_.services()) {
-        ServiceRoom room;
-        room.service = shortId(name);
+    report.suspects = std::move(own.suspects);
+    report.placements = table_.placementsForOtherRegions(now);
+    for (const auto &[name, service] : table_.services()) {
+        ServiceSpareCapacity spare;
+        spare.service = shortId(name);
         std::optional<Duration> best;
-        for (const auto *endpoint : book_.usable(name)) {
-            if (endpoint->restsUntil || endpoint->cold(now)) {
+        for (const auto *endpoint : table_.usable(name)) {
+            if (endpoint->ejectedUntil || endpoint->cold(now)) {
                 continue;
             }
-            ++room.endpoints;
+            ++spare.endpoints;
             const double free = std::max(0.0, endpoint->listed.record.slots - endpoint->load());
             const double freeRate = endpoint->cappedRate(free / endpoint->holdSeconds());
-            room.freePerSecond += static_cast<std::uint32_t>(freeRate);
+            spare.freePerSecond += static_cast<std::uint32_t>(freeRate);
             const auto wait = service.engine
                                   ? placement_.engineWait(*endpoint, now) + options_.firstEventFloor
-                                        + book_.engine(name).readTime(NominalTokens)
+                                        + table_.engine(name).prefillTime(NominalTokens)
                                   : placement_.plainWait(*endpoint);
             const auto startDelay = std::max(wait, endpoint->limit.wait(now));
             best = best ? std::min(*best, startDelay) : startDelay;
         }
         const auto wait =
-            best.value_or(Duration(0)) + queueWait(capacity(name, now), backlog(name));
+            best.value_or(Duration(0)) + backlogWait(capacity(name, now), backlog(name));
         constexpr std::int64_t MaxWaitMs = 60000;
-        room.waitMs = static_cast<std::uint16_t>(std::min<std::int64_t>(
+        spare.waitMs = static_cast<std::uint16_t>(std::min<std::int64_t>(
             std::chrono::duration_cast<milliseconds>(wait).count(), MaxWaitMs));
-        share.rooms.push_back(room);
+        report.spareCapacities.push_back(spare);
     }
-    return share;
+    return report;
 }
 
 void Scheduler::loadSeen(const EndpointId &endpoint, const Dialect::LoadSample &sample, Time now)
 {
-    if (auto *state = book_.find(endpoint)) {
+    if (auto *state = table_.find(endpoint)) {
         state->sample = sample;
         state->sampledAt = now;
     }
@@ -320,31 +321,29 @@
 
 bool Scheduler::limitSeen(const EndpointId &endpoint, std::optional<double> perSecond, Time now)
 {
-    const bool changed = book_.limitSeen(endpoint, {perSecond, now});
-    book_.divideLimits(self_, instances_, now);
+    const bool changed = table_.limitSeen(endpoint, {perSecond, now});
+    table_.divideLimits(self_, instances_, now);
     return changed;
 }
 
 void Scheduler::coldSeen(const EndpointId &endpoint, Duration left, Time now)
 {
-    if (auto *state = book_.find(endpoint)) {
+    if (auto *state = table_.find(endpoint)) {
         state->coldUntil = now + left;
     }
 }
 
-// Placing.
-
 bool Scheduler::homeAllowed(const CallFacts &facts) const
 {
     return facts.allowedRegions.empty() || contains(facts.allowedRegions, home_);
 }
 
-// Steps of a request.
+// Requests.
 
 Effects Scheduler::submit(CallFacts facts, Time now)
 {
     Effects effects;
-    book_.refreshLoad(now);
+    table_.refreshLoad(now);
     const auto id = facts.id;
     auto &call = calls_[id];
     call.facts = std::move(facts);
@@ -363,27 +362,27 @@
                effects);
         return;
     }
-    const bool atHome = homeAllowed(facts) && !book_.usable(facts.service).empty();
+    const bool atHome = homeAllowed(facts) && !table_.usable(facts.service).empty();
     if (!atHome) {
         const auto offer = facts.forwarded ? std::nullopt
-                                           : rooms_.any(facts.service, facts.allowedRegions,
-                                                        call.triedRegions, now);
+                                           : spareCapacity_.any(facts.service, facts.allowedRegions,
+                                                                call.attemptedRegions, now);
         if (!forward(call, offer, now, effects)) {
             reject(call, RejectReason::NoEndpoint, NoEndpointRetryAfter, now, effects);
         }
         return;
     }
     const auto candidate = placement_.choose(call, now);
-    if (candidate && placement_.fits(call, *candidate, now)
+    if (candidate && placement_.shouldSend(call, *candidate, now)
         && send(call, *candidate, now, effects)) {
         return;
     }
-    const auto wait = bestWait(call, now);
+    const auto wait = expectedWait(call, now);
     if (forwardIfBetter(call, wait, now, effects)) {
         return;
     }
-    const auto withMargin = scaled(wait, 1 / options_.admissionShare);
-    if (hopeless(call, candidate, withMargin, now) || !mayWait
+    const auto withMargin = scaled(wait, 1 / options_.admissionFraction);
+    if (cannotMeetObjective(call, candidate, withMargin, now) || !mayWait
         || queue_.size() >= options_.queueLimit) {
         reject(call, RejectReason::Overloaded, wait, now, effects);
         return;
@@ -402,23 +401,23 @@
     call.expected = candidate.expected;
     call.prefillTokens = candidate.prefillTokens;
     call.answering = false;
-    call.takenBack = false;
-    call.aloneAtSend = endpoint.idle();
-    call.placeFreeAtSend = endpoint.load() < record.slots;
-    call.tried.push_back(record.id);
-    ++call.tries;
+    call.attemptCancelled = false;
+    call.idleAtSend = endpoint.idle();
+    call.slotFreeAtSend = endpoint.load() < record.slots;
+    call.attemptedEndpoints.push_back(record.id);
+    ++call.attempts;
     ++endpoint.own;
-    book_.sent(call.facts.service, now);
-    endpoint.reading.add(now,
-                         book_.engine(call.facts.service).busyReadTime(candidate.prefillTokens));
+    table_.sent(call.facts.service, now);
+    endpoint.prefillQueue.add(
+        now, table_.engine(call.facts.service).busyPrefillTime(candidate.prefillTokens));
     notice(endpoint, call);
     endpoint.cache.use(call.facts.parts);
-    // The last part is the request's own: nobody else asks for it.
+    // The last part belongs to this request only.
     const auto &parts = call.facts.parts;
-    book_.placed(endpoint, {parts.begin(), parts.empty() ? parts.end() : parts.end() - 1}, now);
-    endpoint.trial = endpoint.restsUntil.has_value();
+    table_.placed(endpoint, {parts.begin(), parts.empty() ? parts.end() : parts.end() - 1}, now);
+    endpoint.probing = endpoint.ejectedUntil.has_value();
     if (endpoint.cold(now)) {
-        endpoint.coldGate.sent(now);
+        endpoint.coldRateLimit.sent(now);
     }
     endpoint.limit.sent(now);
     Send effect;
@@ -435,22 +434,22 @@
     return true;
 }
 
-bool Scheduler::forward(Call &call, const std::optional<RegionRooms::Offer> &offer, Time now,
+bool Scheduler::forward(Call &call, const std::optional<SpareCapacity::Offer> &offer, Time now,
                         Effects &effects)
 {
     if (!offer) {
         return false;
     }
     dequeue(call);
-    rooms_.sent(offer->region, call.facts.service, now);
+    spareCapacity_.sent(offer->region, call.facts.service, now);
     call.endpoint = EndpointId();
     call.region = offer->region;
-    call.triedRegions.push_back(offer->region);
+    call.attemptedRegions.push_back(offer->region);
     call.sentAt = now;
     call.expected = offer->wait + options_.regionRoundTrip;
     call.answering = false;
-    call.takenBack = false;
-    ++call.tries;
+    call.attemptCancelled = false;
+    ++call.attempts;
     const int runsLeft = std::max(1, call.facts.maxRuns - call.runs);
     effects.push_back(Forward{call.facts.id, offer->region, runsLeft});
     return true;
@@ -462,7 +461,8 @@
     if (facts.forwarded) {
         return false;
     }
-    const auto offer = rooms_.best(facts.service, facts.allowedRegions, call.triedRegions, now);
+    const auto offer =
+        spareCapacity_.best(facts.service, facts.allowedRegions, call.attemptedRegions, now);
     if (!offer) {
         return false;
     }
@@ -470,7 +470,7 @@
     return better && forward(call, offer, now, effects);
 }
 
-Duration Scheduler::spread(Duration wait)
+Duration Scheduler::withJitter(Duration wait)
 {
     std::uniform_real_distribution<double> factor(1 - options_.retryAfterJitter,
                                                   1 + options_.retryAfterJitter);
@@ -482,12 +482,13 @@
 {
     dequeue(call);
     if (call.runs > 0) {
-        // An earlier try may have run: the promise that it has not would be false.
+        // An earlier attempt may have run, so the answer must not claim that the request has not
+        // run.
         fail(call, effects);
         return;
     }
     const auto id = call.facts.id;
-    const auto retryAfter = reason == RejectReason::Quarantined ? wait : spread(wait);
+    const auto retryAfter = reason == RejectReason::Quarantined ? wait : withJitter(wait);
     calls_.erase(id);
     effects.push_back(Reject{id, reason, retryAfter});
 }
@@ -517,9 +518,9 @@
 Effects Scheduler::tick(Time now)
 {
     Effects effects;
-    book_.divideLimits(self_, instances_, now);
-    pump(now, effects);
-    takeBackSilent(now, effects);
+    table_.divideLimits(self_, instances_, now);
+    dispatchQueue(now, effects);
+    cancelSilentAttempts(now, effects);
     quarantine_.expire(now);
     return effects;
 }
@@ -527,20 +528,20 @@
 nlohmann::json Scheduler::dump(Time now) const
 {
     auto endpoints = nlohmann::json::array();
-    for (const auto *endpoint : book_.all()) {
+    for (const auto *endpoint : table_.all()) {
         endpoints.push_back({{"id", endpoint->listed.record.id.text()},
                              {"service", endpoint->listed.record.service.text()},
                              {"leaving", endpoint->listed.leaving},
                              {"missing", endpoint->listed.missing},
                              {"evacuated", endpoint->evacuated},
                              {"cold", endpoint->cold(now)},
-                             {"rests", endpoint->restsUntil.has_value()},
+                             {"rests", endpoint->ejectedUntil.has_value()},
                              {"own", endpoint->own},
                              {"others", endpoint->others},
                              {"assumed", endpoint->assumed},
                              {"slowness", endpoint->slowness},
                              {"limit", endpoint->limit.statement().perSecond.value_or(-1)},
-                             {"error_share", endpoint->errorShare}});
+                             {"error_share", endpoint->errorRate}});
     }
     return {{"instance", self_.text()},           {"region", home_.text()},
             {"instances", instances_.size()},     {"requests", calls_.size()},
--- a/Source/Core/Dispatch/Scheduler.h
+++ b/Source/Core/Dispatch/Scheduler.h
@@ -10,8 +10,8 @@
 
 #include "Decisions/Decisions.h"
 #include "Dispatch/Call.h"
-#include "Dispatch/EndpointBook.h"
 #include "Dispatch/EndpointHealth.h"
+#include "Dispatch/EndpointTable.h"
 #include "Dispatch/Facts.h"
 #include "Dispatch/Options.h"
 #include "Dispatch/Placement.h"
@@ -20,52 +20,52 @@
 
 namespace LaburnumChute::Dispatch {
 
-/// All decisions on the relayed requests of one instance: where and when each is sent, and when it
-/// is turned away instead.
+/// Makes all decisions on the relayed requests of one instance: where and when each is sent, and
+/// whether it is rejected instead.
 ///
-/// Load pattern: long prompts with large shared parts beside many short ones; the rush of one
-/// region while others idle; endpoints that come and go. A request goes to the endpoint of its
-/// region with the shortest expected time to the first byte, where prompts that wait to be read
-/// there, parts of this prompt that are not in its memory, and its past slowness count. What cannot
-/// be sent in time waits here, where it costs nothing should its caller leave; what will not be in
-/// time at all is rejected at once.
+/// Load pattern: long prompts with large shared parts beside many short ones; a peak in one region
+/// while others are idle; endpoints that start and stop. A request is sent to the endpoint of its
+/// region with the shortest expected time to the first byte. That time depends on the endpoint's
+/// prefill queue, on the parts of the prompt that are missing in its prefix cache, and on its past
+/// slowness. A request that cannot be sent in time is queued here, where it costs nothing if its
+/// caller leaves; a request that would miss its objective in any case is rejected at once.
 ///
-/// For each request submitted there is exactly one of: Reject; Fail; or a Send or Forward that ends
+/// Each submitted request results in exactly one of: Reject; Fail; or a Send or Forward that ends
 /// with ended(), which may return the next effect. Not thread-safe.
 class Scheduler
 {
 public:
-    /// @param startedAt start of this process
+    /// @param startedAt start time of this process
     Scheduler(DispatchOptions options, InstanceId self, RegionName home, std::uint64_t seed,
               Time startedAt);
 
-    // What is known.
+    // Information about endpoints, instances and regions.
 
     Effects setServices(const std::map<ServiceName, Catalog::Service> &services, Time now);
     /// Endpoints of the own region.
     Effects setEndpoints(const std::vector<Catalog::ListedEndpoint> &endpoints,
                          const std::set<Common::FailureDomainName> &evacuated, Time now);
-    /// Endpoints of other regions, for what their memory holds.
+    /// Endpoints of other regions, whose KV caches can be copied.
     void setRemoteEndpoints(const std::vector<Catalog::ListedEndpoint> &endpoints);
-    /// What an endpoint of the own region says that its memory holds.
+    /// Parts that an endpoint of the own region reports to have in its prefix cache.
     void setCache(const EndpointId &endpoint, const std::vector<Dialect::PromptPart> &parts,
                   Time now);
-    /// All that is known of the memory of the own region's endpoints, for another instance.
+    /// Known prefix cache contents of the own region's endpoints, for another instance.
     std::vector<PartPlacement> caches() const;
     void learnCaches(const std::vector<PartPlacement> &placements);
-    /// Engines of the own region whose memory this instance is to ask about, so that each is asked
-    /// by one of the region's instances.
+    /// Engines of the own region that this instance polls for their cache contents; each engine is
+    /// polled by one instance of the region.
     std::vector<Catalog::EndpointRecord> enginesToPoll() const;
     void setBounds(const Catalog::Bounds &bounds);
-    /// Live instances of the own region, this one among them, of all regions together, and the
-    /// other regions that can be reached.
+    /// Sets the live instances of the own region (including this one), the number of instances of
+    /// all regions, and the reachable other regions.
     void setFleet(const std::vector<InstanceId> &ownRegion, std::size_t allInstances,
                   const std::vector<RegionName> &reachableRegions);
-    Effects setRegionLoadReport(const InstanceId &instance, const RegionLoadReport &share,
+    Effects setRegionLoadReport(const InstanceId &instance, const RegionLoadReport &report,
                                 Time now);
     void setCrossRegionLoadReport(const RegionName &region, const InstanceId &instance,
-                                  const CrossRegionLoadReport &share, Time now);
-    /// Long prompts that another instance of the region has just sent.
+                                  const CrossRegionLoadReport &report, Time now);
+    /// Applies notices of long prompts that another instance of the region has just sent.
     void learn(const PromptNotices &notices, Time now);
     /// Long prompts sent since the last call, for the other instances of the region.
     PromptNotices takeNotices();
@@ -75,17 +75,17 @@
     // Requests.
 
     Effects submit(CallFacts facts, Time now);
-    /// Its caller has left, or has its answer: what waits is forgotten. A try under way still ends
-    /// with ended().
+    /// The caller disconnected or has been answered: a queued request is removed. A running attempt
+    /// still ends with ended().
     void withdraw(CallId call, Time now);
-    /// The first event or byte of the answer came.
+    /// The first event or byte of the answer was received.
     void answering(CallId call, Time now);
-    /// More events of the answer came.
-    /// @param pause since the last event before them
+    /// More events of the answer were received.
+    /// @param pause time since the event before them
     void progressed(CallId call, int events, Duration pause, Time now);
-    /// @param mayGoOn whether another try may follow: false once a part of the answer was passed on
-    ///        and cannot be continued
-    Effects ended(CallId call, AttemptOutcome outcome, bool mayGoOn, Time now);
+    /// @param mayRetry whether another attempt may follow: false once a part of the answer was
+    ///        passed on and cannot be continued
+    Effects ended(CallId call, AttemptOutcome outcome, bool mayRetry, Time now);
     void loadSeen(const EndpointId &endpoint, const Dialect::LoadSample &sample, Time now);
     /// @param perSecond rate limit that applies to all instances together; empty if the answer
     ///        stated none
@@ -94,7 +94,7 @@
     void coldSeen(const EndpointId &endpoint, Duration left, Time now);
     Effects tick(Time now);
 
-    // Questions.
+    // Queries.
 
     std::size_t waiting() const
     {
@@ -110,57 +110,59 @@
     nlohmann::json dump(Time now) const;
 
 private:
-    // Steps of a request.
+    // Processing of a request.
     void place(Call &call, bool mayWait, Time now, Effects &effects);
     bool send(Call &call, const Candidate &candidate, Time now, Effects &effects);
     void notice(const EndpointState &endpoint, const Call &call);
-    bool forward(Call &call, const std::optional<RegionRooms::Offer> &offer, Time now,
+    bool forward(Call &call, const std::optional<SpareCapacity::Offer> &offer, Time now,
                  Effects &effects);
     bool forwardIfBetter(Call &call, Duration homeWait, Time now, Effects &effects);
-    bool hopeless(const Call &call, const std::optional<Candidate> &candidate, Duration wait,
-                  Time now);
-    /// From the turn of a request to its first event, as far as it depends on the request.
-    Duration ownTime(const Call &call, const std::optional<Candidate> &candidate);
+    bool cannotMeetObjective(const Call &call, const std::optional<Candidate> &candidate,
+                             Duration wait, Time now);
+    /// Time from sending a request to its first event, apart from the wait for other requests.
+    Duration timeToFirstEvent(const Call &call, const std::optional<Candidate> &candidate);
     void reject(Call &call, RejectReason reason, Duration wait, Time now, Effects &effects);
     void fail(Call &call, Effects &effects);
     void enqueue(Call &call);
     void dequeue(Call &call);
-    void pump(Time now, Effects &effects);
-    void takeBackSilent(Time now, Effects &effects);
+    void dispatchQueue(Time now, Effects &effects);
+    void cancelSilentAttempts(Time now, Effects &effects);
     bool homeAllowed(const CallFacts &facts) const;
 
-    /// What the endpoints of a service do with what waits.
+    /// Rate at which the endpoints of a service process queued requests.
     struct Capacity
     {
-        /// Until the least busy endpoint would begin with a request.
+        /// Time until the least busy endpoint could start a request.
         Duration shortestWait{0};
-        /// Engines, or places of plain endpoints.
-        double places = 0;
-        /// Places that are freed in a second.
+        /// Number of engines, or slots of plain endpoints.
+        double parallelism = 0;
+        /// Slots that become free per second.
         double freedPerSecond = 0;
-        /// What waits at the region's other instances.
+        /// Queued work at the region's other instances.
         WaitingWork others;
     };
-    Duration workOf(const CallFacts &facts, Duration meanHold);
-    Duration meanHold(const ServiceName &service) const;
-    /// Requests that wait here.
+    Duration workOf(const CallFacts &facts, Duration meanHoldTime);
+    Duration meanHoldTime(const ServiceName &service) const;
+    /// Work that is queued at this instance.
     WaitingWork backlog(const ServiceName &service);
     Capacity capacity(const ServiceName &service, Time now);
-    /// How long the work that waits at all instances of the region keeps its endpoints busy.
-    static Duration queueWait(const Capacity &capacity, const WaitingWork &ahead);
-    /// How long a request waits behind others.
-    /// @param anyPlace some endpoint would take it now
-    static Duration waitBehind(const Capacity &capacity, const WaitingWork &ahead, bool anyPlace);
-    /// The same for a request that comes now.
-    Duration bestWait(const Call &call, Time now);
-    Duration spread(Duration wait);
+    /// Time for which the work queued at all instances of the region occupies its endpoints.
+    static Duration backlogWait(const Capacity &capacity, const WaitingWork &ahead);
+    /// Wait of a request behind others.
+    /// @param slotAvailable some endpoint would accept the request now
+    static Duration waitBehind(const Capacity &capacity, const WaitingWork &ahead,
+                               bool slotAvailable);
+    /// Wait of a request that arrives now.
+    Duration expectedWait(const Call &call, Time now);
+    Duration withJitter(Duration wait);
     RetryBudget &budget(const ServiceName &service);
-    /// This instance's part of the retries that are allowed beside the share of the requests.
+    /// This instance's part of the fixed number of retries that are allowed in addition to the
+    /// ratio.
     double retrySlack() const;
-    void boundBudgets();
-    void mergeSuspects(const std::vector<SuspectShare> &suspects, Time now);
+    void updateRetryBudgets();
+    void mergeSuspects(const std::vector<SuspectReport> &suspects, Time now);
 
-    // What tries tell of endpoints.
+    // Evaluation of attempts.
     void leaveEndpoint(Call &call, AttemptOutcome outcome, Time now);
 
     DispatchOptions options_;
@@ -168,8 +170,8 @@
     RegionName home_;
     Catalog::Bounds bounds_;
     std::mt19937_64 random_;
-    EndpointBook book_;
-    RegionRooms rooms_;
+    EndpointTable table_;
+    SpareCapacity spareCapacity_;
     Decisions::Quarantine quarantine_;
     Placement placement_;
     EndpointHealth health_;
@@ -178,9 +180,9 @@
     std::map<ServiceName, RetryBudget> budgets_;
     std::vector<PromptNotice> notices_;
     std::unordered_map<CallId, Call> calls_;
-    /// By order of service.
+    /// In the order in which requests are served.
     std::multimap<Time, CallId> queue_;
-    std::unordered_map<CallId, std::multimap<Time, CallId>::iterator> queuePlaces_;
+    std::unordered_map<CallId, std::multimap<Time, CallId>::iterator> queuePositions_;
 };
 
 } // namespace LaburnumChute::Dispatch
--- a/Source/Core/Dispatch/SchedulerTries.cpp
+++ b/Source/Core/Dispatch/SchedulerTries.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-/// Tries beside the runs that a route allows: endpoints that do not take a request cost little.
-constexpr int SpareTries = 2;
+/// Attempts allowed in addition to the runs that a route allows: an attempt that the endpoint does
+/// not accept costs little.
+constexpr int ExtraAttempts = 2;
 
 } // namespace
 
@@ -18,11 +19,11 @@
     if (found == calls_.end() || found->second.endpoint.empty()) {
         return true;
     }
-    const auto *endpoint = book_.find(found->second.endpoint);
+    const auto *endpoint = table_.find(found->second.endpoint);
     return endpoint != nullptr && !endpoint->listed.leaving && !endpoint->evacuated;
 }
 
-// What tries tell of endpoints.
+// Evaluation of attempts.
 
 void Scheduler::answering(CallId id, Time now)
 {
@@ -32,32 +33,32 @@
     }
     auto &call = found->second;
     call.answering = true;
-    auto *endpoint = book_.find(call.endpoint);
+    auto *endpoint = table_.find(call.endpoint);
     if (endpoint == nullptr) {
         return;
     }
     const auto took = now - call.sentAt;
-    // Short prompts may be read before longer ones that came first.
-    std::optional<ReadingSpan> busy;
+    // Short prompts may be prefilled before longer ones that were sent earlier.
+    std::optional<BusyPeriod> busy;
     if (call.prefillTokens >= options_.noticeTokens) {
-        busy = endpoint->reading.readUpTo(call.sentAt, now);
+        busy = endpoint->prefillQueue.prefilledUpTo(call.sentAt, now);
     } else {
-        endpoint->reading.remove(call.sentAt, now);
+        endpoint->prefillQueue.remove(call.sentAt, now);
     }
-    const auto *service = book_.service(call.facts.service);
+    const auto *service = table_.service(call.facts.service);
     if (service == nullptr || !service->engine) {
         return;
     }
-    auto &engine = book_.engine(call.facts.service);
-    if (call.aloneAtSend) {
-        engine.sample(call.prefillTokens, took);
+    auto &engine = table_.engine(call.facts.service);
+    if (call.idleAtSend) {
+        engine.samplePrefill(call.prefillTokens, took);
     } else if (busy) {
-        // An engine that is never idle is never seen to read a prompt alone: were its speed not
-        // learnt from how prompts follow each other, one slower than expected would be taken to
-        // have read what it was sent long ago, and get more without end.
-        engine.sampleBusy(busy->expected, busy->took);
+        // An engine that is never idle never prefills a single prompt alone. If its speed were not
+        // measured between consecutive prompts, an engine slower than expected would be assumed to
+        // have completed its prefills long ago and would be sent more and more.
+        engine.sampleBusyPrefill(busy->expected, busy->took);
     }
-    health_.noteFirstEvent(*endpoint, call, took);
+    health_.recordFirstEvent(*endpoint, call, took);
 }
 
 void Scheduler::progressed(CallId id, int events, Duration pause, Time now)
@@ -68,8 +69,8 @@
     }
     auto &call = found->second;
     call.events += events;
-    if (auto *endpoint = book_.find(call.endpoint)) {
-        auto &engine = book_.engine(call.facts.service);
+    if (auto *endpoint = table_.find(call.endpoint)) {
+        auto &engine = table_.engine(call.facts.service);
         endpoint->pace.seen(events, pause, now);
         engine.paceSeen(endpoint->pace.pause(engine.fastestPause(), now));
     }
@@ -77,18 +78,18 @@
 
 void Scheduler::leaveEndpoint(Call &call, AttemptOutcome outcome, Time now)
 {
-    auto *endpoint = book_.find(call.endpoint);
+    auto *endpoint = table_.find(call.endpoint);
     if (endpoint == nullptr) {
         return;
     }
     endpoint->own = std::max(0, endpoint->own - 1);
     if (!call.answering) {
-        endpoint->reading.remove(call.sentAt, now);
+        endpoint->prefillQueue.remove(call.sentAt, now);
     }
-    health_.noteOutcome(*endpoint, call, outcome, now);
+    health_.recordOutcome(*endpoint, call, outcome, now);
 }
 
-Effects Scheduler::ended(CallId id, AttemptOutcome outcome, bool mayGoOn, Time now)
+Effects Scheduler::ended(CallId id, AttemptOutcome outcome, bool mayRetry, Time now)
 {
     Effects effects;
     const auto found = calls_.find(id);
@@ -101,65 +102,68 @@
         leaveEndpoint(call, outcome, now);
     }
     if (outcome == AttemptOutcome::Completed && call.facts.kind == RequestKind::Stream) {
-        book_.engine(call.facts.service).answerSeen(call.facts.outputTokens, call.events);
+        table_.engine(call.facts.service).answerSeen(call.facts.outputTokens, call.events);
     }
-    const bool over = call.withdrawn || outcome == AttemptOutcome::Completed
+    const bool done = call.withdrawn || outcome == AttemptOutcome::Completed
                       || outcome == AttemptOutcome::Cancelled;
-    if (over) {
+    if (done) {
         calls_.erase(found);
-        pump(now, effects);
+        dispatchQueue(now, effects);
         return effects;
     }
-    auto &budgetOfService = budget(call.facts.service);
+    auto &retryBudget = budget(call.facts.service);
     const bool unsent = outcome == AttemptOutcome::NotConnected;
     const bool notRun = unsent || outcome == AttemptOutcome::NotRun;
     if (!notRun) {
-        // Another instance may have used all tries that the route allows; how many, a broken
-        // connection does not tell.
+        // The instance in the other region may have used all runs that the route allows; a broken
+        // connection does not show how many.
         call.runs = atEndpoint ? call.runs + 1 : std::max(call.runs + 1, call.facts.maxRuns);
     }
-    const bool triesLeft = call.tries < call.facts.maxRuns + SpareTries;
+    const bool attemptsLeft = call.attempts < call.facts.maxRuns + ExtraAttempts;
     const bool allowed =
-        notRun ? triesLeft : call.facts.repeatable && call.runs < call.facts.maxRuns;
-    const bool again =
-        mayGoOn && allowed && now < call.facts.deadline && (unsent || budgetOfService.take(now));
-    const auto &usable = book_.usable(call.facts.service);
-    const bool allTried = std::all_of(usable.begin(), usable.end(), [&](const auto *endpoint) {
-        return contains(call.tried, endpoint->listed.record.id);
+        notRun ? attemptsLeft : call.facts.repeatable && call.runs < call.facts.maxRuns;
+    const bool retry =
+        mayRetry && allowed && now < call.facts.deadline && (unsent || retryBudget.take(now));
+    const auto &usable = table_.usable(call.facts.service);
+    const bool allAttempted = std::all_of(usable.begin(), usable.end(), [&](const auto *endpoint) {
+        return contains(call.attemptedEndpoints, endpoint->listed.record.id);
     });
-    if (again && allTried && !notRun) {
-        // There is no other endpoint: one that answers with errors now and then is tried again.
-        call.tried.clear();
-    }
-    // When every endpoint has turned it away, nothing changes while it waits.
-    const bool mayWait = !(allTried && notRun);
-    if (again) {
+    if (retry && allAttempted && !notRun) {
+        // There is no other endpoint, so those that failed may be used again: some endpoints fail
+        // only now and then.
+        call.attemptedEndpoints.clear();
+    }
+    // When every endpoint has rejected the request, waiting changes nothing.
+    const bool mayWait = !(allAttempted && notRun);
+    if (retry) {
         place(call, mayWait, now, effects);
     } else if (call.runs == 0) {
-        reject(call, RejectReason::TriesUsed, bestWait(call, now), now, effects);
+        reject(call, RejectReason::AttemptsUsed, expectedWait(call, now), now, effects);
     } else {
         fail(call, effects);
     }
-    pump(now, effects);
+    dispatchQueue(now, effects);
     return effects;
 }
 
-void Scheduler::takeBackSilent(Time now, Effects &effects)
+void Scheduler::cancelSilentAttempts(Time now, Effects &effects)
 {
     for (auto &[id, call] : calls_) {
-        // The instance of another region looks after a forwarded request by itself. Taken back from
-        // it, just as it has found another endpoint, the request would be lost.
-        const bool here = !call.endpoint.empty();
-        const bool waits = here && !call.queued && !call.answering && !call.takenBack
-                           && !call.withdrawn && call.tries > 0;
-        const bool may = waits && call.facts.repeatable && call.runs + 1 < call.facts.maxRuns;
-        if (!may) {
+        // The instance of the other region watches over a forwarded request itself. If the attempt
+        // were cancelled here just as that instance finds another endpoint, the request would be
+        // lost.
+        const bool atEndpoint = !call.endpoint.empty();
+        const bool unanswered = atEndpoint && !call.queued && !call.answering
+                                && !call.attemptCancelled && !call.withdrawn && call.attempts > 0;
+        const bool mayCancel =
+            unanswered && call.facts.repeatable && call.runs + 1 < call.facts.maxRuns;
+        if (!mayCancel) {
             continue;
         }
-        const auto patience = std::max<Duration>(options_.silenceFloor,
-                                                 scaled(call.expected, options_.silenceFactor));
-        if (now - call.sentAt > patience && budget(call.facts.service).available(now)) {
-            call.takenBack = true;
+        const auto silenceTimeout = std::max<Duration>(
+            options_.silenceFloor, scaled(call.expected, options_.silenceFactor));
+        if (now - call.sentAt > silenceTimeout && budget(call.facts.service).available(now)) {
+            call.attemptCancelled = true;
             effects.push_back(CancelAttempt{id});
         }
     }
--- a/Source/Core/Dispatch/Util.h
+++ b/Source/Core/Dispatch/Util.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Arithmetic on times and small searches, for the sources of this library.
+// Time arithmetic and small search helpers for the sources of this library.
 
 #include <algorithm>
 #include <chrono>
--- a/Source/UnitTests/Dispatch/ColdGateTest.cpp
+++ b/Source/UnitTests/Dispatch/ColdRateLimitTest.cpp
@@ -1,6 +1,6 @@
 #include "Support.h"
 
-#include "Dispatch/ColdGate.h"
+#include "Dispatch/ColdRateLimit.h"
 
 namespace LaburnumChute::Dispatch {
 
@@ -17,31 +17,31 @@
 
 } // namespace
 
-// An endpoint has just started and looks idle to every instance of its region. If each sent what it
-// tolerates in all, a dozen of them would crash it again at once.
-TEST(ColdGateTest, InstancesTogetherKeepToTheBound)
+// Guards against a restarted endpoint crashing again because it looks idle to every instance of its
+// region and each sends as many requests as all may send together.
+TEST(ColdRateLimitTest, InstancesTogetherKeepToTheBound)
 {
     constexpr double Bound = 7;
     for (const int count : {1, 2, 4, 7, 8, 12, 40}) {
         const auto all = instances(count);
         int sum = 0;
         for (const auto &self : all) {
-            sum += ColdGate::quota(Bound, EndpointId("e"), self, all);
+            sum += ColdRateLimit::quota(Bound, EndpointId("e"), self, all);
         }
         EXPECT_LE(sum, Bound) << count;
         EXPECT_GE(sum, Bound / 2) << count;
     }
 }
 
-TEST(ColdGateTest, AnySpanOfASecondKeepsToTheQuota)
+TEST(ColdRateLimitTest, AnySpanOfASecondKeepsToTheQuota)
 {
-    ColdGate gate;
+    ColdRateLimit limit;
     std::vector<Time> sends;
     Time now(seconds(50));
     constexpr int Quota = 3;
     for (int step = 0; step < 500; ++step) {
-        if (gate.allows(Quota, now)) {
-            gate.sent(now);
+        if (limit.allows(Quota, now)) {
+            limit.sent(now);
             sends.push_back(now);
         }
         now += milliseconds(10);
@@ -52,9 +52,8 @@
     EXPECT_GE(sends.size(), 12U);
 }
 
-// A region loses its power, and instances and endpoints come back in the same second. No instance
-// has heard of another; each would send a cold endpoint what all may send together, and it would
-// crash before it has served anything.
+// Guards against instances that start together with their endpoints, as after a power failure: none
+// knows its peers yet, so each would send a cold endpoint what all may send together.
 TEST_F(SchedulerTest, InstanceThatHasJustStartedSparesColdEndpoints)
 {
     Scheduler fresh(DispatchOptions(), InstanceId("one"), RegionName("home"), 7, now_);
@@ -75,8 +74,8 @@
     EXPECT_NE(only<Send>(fresh.submit(facts(Model), now_)), nullptr);
 }
 
-// A burst meets a region whose only endpoint is cold. What goes beyond its rate waits or is
-// rejected; sent on, it would crash the endpoint and lose all.
+// Guards against a burst that crashes a region's only endpoint while it is cold. Requests beyond
+// its rate must wait or be rejected.
 TEST_F(SchedulerTest, BurstDoesNotOverrunAColdEndpoint)
 {
     auto cold = endpoint("a", Model);
--- a/Source/UnitTests/Dispatch/HerdTest.cpp
+++ b/Source/UnitTests/Dispatch/HerdTest.cpp
@@ -9,13 +9,13 @@
 namespace {
 
 constexpr milliseconds Step{5};
-/// Instances tell each other what they have on endpoints at this interval.
+/// Interval of the load reports between instances.
 constexpr milliseconds ReportInterval{250};
 constexpr const char *ModelName = "model";
 constexpr const char *DeskName = "desk";
 
-/// Several instances of one region before the same endpoints, each of which runs as many requests
-/// as it has places and lets the others wait in their order.
+/// Several instances of one region that use the same endpoints. Each endpoint runs as many requests
+/// as it has slots and queues the others in order of arrival.
 class HerdTest : public testing::Test
 {
 protected:
@@ -28,20 +28,20 @@
     };
     struct Endpoint
     {
-        int places = 0;
+        int slots = 0;
         std::deque<Job> waiting;
         std::vector<std::pair<Time, Job>> running;
         std::size_t mostWaiting = 0;
     };
     struct Counts
     {
-        int asked = 0;
+        int submitted = 0;
         int inTime = 0;
         int late = 0;
         int rejected = 0;
     };
 
-    void build(std::size_t instances, std::size_t endpoints, const char *service, int places)
+    void build(std::size_t instances, std::size_t endpoints, const char *service, int slots)
     {
         service_ = ServiceName(service);
         Catalog::Service traits;
@@ -59,9 +59,9 @@
             endpoint.record.id = EndpointId("endpoint-" + std::to_string(index));
             endpoint.record.service = service_;
             endpoint.record.address = endpoint.record.id.text() + ":80";
-            endpoint.record.slots = places;
+            endpoint.record.slots = slots;
             listed.push_back(endpoint);
-            endpoints_[endpoint.record.id].places = places;
+            endpoints_[endpoint.record.id].slots = slots;
         }
         for (std::size_t index = 0; index < instances; ++index) {
             schedulers_.push_back(std::make_unique<Scheduler>(
@@ -93,12 +93,12 @@
         auto facts = request(objective);
         work_[facts.id] = work;
         arrivals_[facts.id] = now_;
-        ++counts_.asked;
+        ++counts_.submitted;
         objective_ = objective;
-        carryOut(instance, schedulers_[instance]->submit(std::move(facts), now_));
+        apply(instance, schedulers_[instance]->submit(std::move(facts), now_));
     }
 
-    void carryOut(std::size_t instance, const Effects &effects)
+    void apply(std::size_t instance, const Effects &effects)
     {
         for (const auto &effect : effects) {
             if (const auto *send = std::get_if<Send>(&effect)) {
@@ -114,7 +114,7 @@
     void startWaiting(Endpoint &endpoint)
     {
         while (!endpoint.waiting.empty()
-               && endpoint.running.size() < static_cast<std::size_t>(endpoint.places)) {
+               && endpoint.running.size() < static_cast<std::size_t>(endpoint.slots)) {
             const auto job = endpoint.waiting.front();
             endpoint.waiting.pop_front();
             schedulers_[job.instance]->answering(job.call, now_);
@@ -125,29 +125,29 @@
 
     void finishRunning(Endpoint &endpoint)
     {
-        std::vector<Job> over;
+        std::vector<Job> finished;
         std::erase_if(endpoint.running, [&](const auto &entry) {
             if (entry.first <= now_) {
-                over.push_back(entry.second);
+                finished.push_back(entry.second);
             }
             return entry.first <= now_;
         });
-        for (const auto &job : over) {
+        for (const auto &job : finished) {
             const bool inTime = now_ - job.arrivedAt <= objective_ + job.work;
             ++(inTime ? counts_.inTime : counts_.late);
-            carryOut(job.instance, schedulers_[job.instance]->ended(
-                                       job.call, AttemptOutcome::Completed, false, now_));
+            apply(job.instance, schedulers_[job.instance]->ended(
+                                    job.call, AttemptOutcome::Completed, false, now_));
         }
     }
 
     void report()
     {
         for (std::size_t from = 0; from < schedulers_.size(); ++from) {
-            const auto share = schedulers_[from]->regionLoadReport(now_);
+            const auto loadReport = schedulers_[from]->regionLoadReport(now_);
             const InstanceId sender("instance-" + std::to_string(from));
             for (std::size_t to = 0; to < schedulers_.size(); ++to) {
                 if (to != from) {
-                    carryOut(to, schedulers_[to]->setRegionLoadReport(sender, share, now_));
+                    apply(to, schedulers_[to]->setRegionLoadReport(sender, loadReport, now_));
                 }
             }
         }
@@ -166,18 +166,18 @@
                 report();
             }
             for (std::size_t index = 0; index < schedulers_.size(); ++index) {
-                carryOut(index, schedulers_[index]->tick(now_));
+                apply(index, schedulers_[index]->tick(now_));
             }
         }
     }
 
-    /// Requests at a fixed rate, drawn to the instances at random, as callers choose them.
-    void play(double perSecond, milliseconds time, milliseconds objective, Duration work)
+    /// Submits requests at a fixed rate to randomly chosen instances.
+    void simulate(double perSecond, milliseconds time, milliseconds objective, Duration work)
     {
         std::mt19937 random(11);
         std::uniform_int_distribution<std::size_t> instance(0, schedulers_.size() - 1);
         double due = 0;
-        for (milliseconds played(0); played < time; played += Step) {
+        for (milliseconds elapsed(0); elapsed < time; elapsed += Step) {
             for (due += perSecond * Common::toSeconds(Step); due >= 1; due -= 1) {
                 arrive(instance(random), objective, work);
             }
@@ -207,27 +207,28 @@
     Counts counts_;
 };
 
-// Twelve instances stand before the same engines at the peak. Each sees what the others sent a
-// quarter of a second ago, in which every engine gets ten requests: all of them take the same
-// engine for the idle one, and callers wait there behind forty others while other engines idle.
-TEST_F(HerdTest, InstancesDoNotCrowdOneEngine)
+// Guards against the thundering herd of twelve instances at a peak. Load reports are a quarter of a
+// second old, and in that time every engine gets ten requests: all instances would choose the same
+// seemingly idle engine, and callers would wait there behind forty others while other engines are
+// idle.
+TEST_F(HerdTest, InstancesDoNotOverloadOneEngine)
 {
     build(12, 16, ModelName, 16);
-    play(700, milliseconds(4000), milliseconds(600), milliseconds(330));
+    simulate(700, milliseconds(4000), milliseconds(600), milliseconds(330));
     EXPECT_LE(mostWaiting(), 4U);
-    EXPECT_GT(counts_.inTime, counts_.asked * 95 / 100);
+    EXPECT_GT(counts_.inTime, counts_.submitted * 95 / 100);
 }
 
-// The same for a plain service with few places and short calls: what another instance had there a
-// quarter of a second ago has ended long since. Instances that keep to what they were told leave
-// places empty, and turn callers away.
-TEST_F(HerdTest, ShortCallsKeepAllPlacesOfAPlainServiceBusy)
+// The same for a plain service with few slots and short calls, where the requests in a load report
+// of a quarter of a second ago have ended. Instances that use such reports unchanged leave slots
+// empty and reject callers.
+TEST_F(HerdTest, ShortCallsKeepAllSlotsOfAPlainServiceBusy)
 {
     build(12, 3, DeskName, 6);
-    // Nine tenths of what three endpoints with six places of 60 ms can do.
-    play(270, milliseconds(4000), milliseconds(500), milliseconds(60));
-    EXPECT_LT(counts_.rejected, counts_.asked / 50);
-    EXPECT_GT(counts_.inTime, counts_.asked * 95 / 100);
+    // Nine tenths of the capacity of three endpoints with six slots and calls of 60 ms.
+    simulate(270, milliseconds(4000), milliseconds(500), milliseconds(60));
+    EXPECT_LT(counts_.rejected, counts_.submitted / 50);
+    EXPECT_GT(counts_.inTime, counts_.submitted * 95 / 100);
 }
 
 } // namespace
--- a/Source/UnitTests/Dispatch/LoadEstimateTest.cpp
+++ b/Source/UnitTests/Dispatch/LoadEstimateTest.cpp
@@ -19,15 +19,15 @@
     return load;
 }
 
-RegionLoadReport share(std::vector<EndpointUse> uses, std::uint16_t sentPerSecond)
+RegionLoadReport loadReport(std::vector<EndpointUse> uses, std::uint16_t sentPerSecond)
 {
-    RegionLoadReport share;
-    share.uses = std::move(uses);
+    RegionLoadReport loadReport;
+    loadReport.uses = std::move(uses);
     ServiceWork work;
     work.service = Service;
     work.sentPerSecond = sentPerSecond;
-    share.services = {work};
-    return share;
+    loadReport.services = {work};
+    return loadReport;
 }
 
 double total(const std::vector<EndpointLoad> &loads)
@@ -39,22 +39,22 @@
 
 } // namespace
 
-TEST(LoadEstimateTest, FreshReportIsTakenAtItsWord)
+TEST(LoadEstimateTest, FreshReportIsUsedUnchanged)
 {
     LoadEstimate estimate;
-    estimate.reported(InstanceId("two"), share({{1, 6}}, 12), Now);
+    estimate.reported(InstanceId("two"), loadReport({{1, 6}}, 12), Now);
     std::vector<EndpointLoad> loads = {endpoint(1, 16), endpoint(2, 16)};
     estimate.estimate(Service, loads, true, Now);
     EXPECT_DOUBLE_EQ(loads[0].known, 6);
     EXPECT_DOUBLE_EQ(loads[1].known + loads[1].assumed, 0);
 }
 
-// Requests last half a second. All instances that believe a report of a second ago would still send
+// Requests take half a second. Instances that used a one second old report unchanged would all send
 // to the endpoint that was idle then.
 TEST(LoadEstimateTest, OldReportTellsHowManyButNotWhere)
 {
     LoadEstimate estimate;
-    estimate.reported(InstanceId("two"), share({{1, 12}}, 24), Now);
+    estimate.reported(InstanceId("two"), loadReport({{1, 12}}, 24), Now);
     std::vector<EndpointLoad> loads = {endpoint(1, 16), endpoint(2, 16)};
     estimate.estimate(Service, loads, true, Now + seconds(5));
     EXPECT_NEAR(total(loads), 12, 1e-3);
@@ -62,11 +62,11 @@
     EXPECT_NEAR(loads[1].known + loads[1].assumed, 6, 0.01);
 }
 
-// A report that says of no request how long it lasts gives no reason to think that they have ended.
+// If a report does not show how long requests take, nothing indicates that they have ended.
 TEST(LoadEstimateTest, RequestsOfAnInstanceThatSendsNothingStay)
 {
     LoadEstimate estimate;
-    estimate.reported(InstanceId("two"), share({{1, 12}}, 0), Now);
+    estimate.reported(InstanceId("two"), loadReport({{1, 12}}, 0), Now);
     std::vector<EndpointLoad> loads = {endpoint(1, 16), endpoint(2, 16)};
     estimate.estimate(Service, loads, true, Now + seconds(5));
     EXPECT_DOUBLE_EQ(loads[0].known, 12);
@@ -75,7 +75,7 @@
 TEST(LoadEstimateTest, InstanceThatIsGoneCountsNoMore)
 {
     LoadEstimate estimate;
-    estimate.reported(InstanceId("two"), share({{1, 12}}, 24), Now);
+    estimate.reported(InstanceId("two"), loadReport({{1, 12}}, 24), Now);
     estimate.keep({InstanceId("one")});
     std::vector<EndpointLoad> loads = {endpoint(1, 16)};
     estimate.estimate(Service, loads, true, Now);
@@ -95,8 +95,9 @@
     EXPECT_DOUBLE_EQ(loads[0].known, 0);
 }
 
-// Others avoid the busiest endpoints, so that what they have sent is at the rest.
-TEST(LoadEstimateTest, WhatIsNotToldIsExpectedWhereOthersWouldSendIt)
+// Other instances avoid the busiest endpoints, so the requests that they have sent since are on the
+// rest.
+TEST(LoadEstimateTest, UnlocatedRequestsAreExpectedOnTheLeastBusyEndpoints)
 {
     std::vector<EndpointLoad> loads = {endpoint(1, 16), endpoint(2, 16), endpoint(3, 16)};
     loads[0].known = 12;
@@ -107,7 +108,7 @@
     EXPECT_NEAR(loads[2].assumed, 7, 1e-3);
 }
 
-TEST(LoadEstimateTest, WhatHasRoomNowhereIsSpreadOverAll)
+TEST(LoadEstimateTest, RequestsBeyondAllSlotsAreSpreadOverAllEndpoints)
 {
     std::vector<EndpointLoad> loads = {endpoint(1, 16), endpoint(2, 8)};
     spreadEvenly(loads, 36);
@@ -118,19 +119,19 @@
 TEST(LoadEstimateTest, EndpointsThatTakeNoWorkGetNone)
 {
     std::vector<EndpointLoad> loads = {endpoint(1, 16), endpoint(2, 16)};
-    loads[0].takesWork = false;
+    loads[0].acceptsRequests = false;
     spreadEvenly(loads, 5);
     EXPECT_DOUBLE_EQ(loads[0].assumed, 0);
     EXPECT_NEAR(loads[1].assumed, 5, 1e-3);
     spreadEvenly(loads, 0);
 }
 
-// What this instance has sent or ended since its last report the others do not know yet, so that it
-// does not change where they send.
+// The other instances do not know yet what this instance has sent since its last report, so it does
+// not affect where they send.
 TEST(LoadEstimateTest, OwnRequestsSinceTheLastReportDoNotMoveTheOthers)
 {
     std::vector<EndpointLoad> loads = {endpoint(1, 16), endpoint(2, 16)};
-    loads[0].toldOwn = 4;
+    loads[0].reportedOwn = 4;
     spreadEvenly(loads, 8);
     EXPECT_NEAR(loads[0].assumed, 2, 1e-3);
     EXPECT_NEAR(loads[1].assumed, 6, 1e-3);
--- a/Source/UnitTests/Dispatch/LoadTest.cpp
+++ b/Source/UnitTests/Dispatch/LoadTest.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-/// A plain endpoint serves each request in the same time, as many at once as it has places; the
-/// others wait there for their turn.
+/// A plain endpoint serves each request in the same time, and as many at once as it has slots; the
+/// others wait there.
 constexpr milliseconds Hold{60};
 
-/// Requests on an endpoint with six places when its own queue is full, too.
+/// Requests on an endpoint with six slots when its own queue is full, too.
 constexpr std::uint16_t FullWithQueue = 18;
 
 } // namespace
 
-/// Plays requests against endpoints of fixed speed, tick by tick.
+/// Simulates requests to endpoints of fixed speed in steps.
 class LoadTest : public SchedulerTest
 {
 protected:
@@ -29,11 +29,11 @@
         Time arrivedAt;
         std::optional<Time> sentAt;
         bool rejected = false;
-        Duration heardAfter{0};
+        Duration rejectedAfter{0};
         Duration retryAfter{0};
     };
 
-    void take(const Effects &effects)
+    void apply(const Effects &effects)
     {
         for (const auto &effect : effects) {
             if (const auto *send = std::get_if<Send>(&effect)) {
@@ -42,7 +42,7 @@
             } else if (const auto *reject = std::get_if<Reject>(&effect)) {
                 auto &caller = callers_[reject->call];
                 caller.rejected = true;
-                caller.heardAfter = now_ - caller.arrivedAt;
+                caller.rejectedAfter = now_ - caller.arrivedAt;
                 caller.retryAfter = reject->retryAfter;
             }
         }
@@ -52,16 +52,16 @@
         const auto found = slow_.find(endpoint);
         return found == slow_.end() ? Duration(Hold) : found->second;
     }
-    /// When a request that is sent to the endpoint now will have been served.
+    /// Time at which a request that is sent to the endpoint now will be complete.
     Time endOf(const EndpointId &endpoint)
     {
-        auto &places = places_[endpoint];
+        auto &slotsFreeAt = slotsFreeAt_[endpoint];
         for (const auto &listed : endpoints_) {
             if (listed.record.id == endpoint) {
-                places.resize(static_cast<std::size_t>(listed.record.slots));
+                slotsFreeAt.resize(static_cast<std::size_t>(listed.record.slots));
             }
         }
-        const auto first = std::min_element(places.begin(), places.end());
+        const auto first = std::min_element(slotsFreeAt.begin(), slotsFreeAt.end());
         *first = std::max(*first, now_) + holdOf(endpoint);
         return *first;
     }
@@ -69,7 +69,7 @@
     {
         callers_[facts.id] = {now_, std::nullopt, false, {}, {}};
         const auto id = facts.id;
-        take(scheduler_.submit(std::move(facts), now_));
+        apply(scheduler_.submit(std::move(facts), now_));
         return id;
     }
     void advance(milliseconds time)
@@ -77,18 +77,18 @@
         const auto end = now_ + time;
         while (now_ < end) {
             now_ += milliseconds(5);
-            std::vector<CallId> over;
+            std::vector<CallId> finished;
             std::erase_if(endings_, [&](const Ending &ending) {
                 if (ending.at <= now_) {
-                    over.push_back(ending.call);
+                    finished.push_back(ending.call);
                 }
                 return ending.at <= now_;
             });
-            for (const auto id : over) {
+            for (const auto id : finished) {
                 scheduler_.answering(id, now_);
-                take(scheduler_.ended(id, AttemptOutcome::Completed, false, now_));
+                apply(scheduler_.ended(id, AttemptOutcome::Completed, false, now_));
             }
-            take(scheduler_.tick(now_));
+            apply(scheduler_.tick(now_));
         }
     }
     std::size_t countRejected() const
@@ -99,16 +99,16 @@
     }
 
     std::map<EndpointId, Duration> slow_;
-    /// When each place of an endpoint is free again.
-    std::map<EndpointId, std::vector<Time>> places_;
+    /// Time at which each slot of an endpoint becomes free.
+    std::map<EndpointId, std::vector<Time>> slotsFreeAt_;
     std::map<CallId, Caller> callers_;
     std::vector<Ending> endings_;
 };
 
-// For a second three times as many requests come as the endpoints can take. Those that could not be
-// served in time hear so at once, with different times to come back; none is held until it is late
-// and then turned away.
-TEST_F(LoadTest, BurstIsTurnedAwayAtOnceAndSpread)
+// For one second three times as many requests arrive as the endpoints can serve. Guards against
+// holding requests that cannot be served in time before rejecting them, and against equal retry
+// delays.
+TEST_F(LoadTest, BurstIsRejectedAtOnceWithSpreadRetryDelays)
 {
     setEndpoints({endpoint("a", Plain, 6)});
     std::set<Duration> times;
@@ -120,20 +120,20 @@
     }
     advance(milliseconds(2000));
     ASSERT_GT(countRejected(), 100U);
-    std::size_t held = 0;
+    std::size_t lateRejections = 0;
     for (const auto &[id, caller] : callers_) {
         if (caller.rejected) {
             times.insert(caller.retryAfter);
-            held += caller.heardAfter > milliseconds(100) ? 1 : 0;
+            lateRejections += caller.rejectedAfter > milliseconds(100) ? 1 : 0;
             EXPECT_GE(caller.retryAfter, milliseconds(200));
             EXPECT_LE(caller.retryAfter, milliseconds(2600));
         }
     }
-    EXPECT_LT(held, countRejected() / 10);
+    EXPECT_LT(lateRejections, countRejected() / 10);
     EXPECT_GT(times.size(), countRejected() / 2);
 }
 
-// The endpoints keep busy under a load far beyond what they can take.
+// Endpoints are kept busy under a load far beyond their capacity.
 TEST_F(LoadTest, SaturatedEndpointsAreKeptBusy)
 {
     setEndpoints({endpoint("a", Plain, 6)});
@@ -149,9 +149,9 @@
     EXPECT_GT(static_cast<double>(served), 0.9 * Possible);
 }
 
-// Eight instances stand before the same endpoints and each has an eighth of the queue. One that
-// looks at its own part alone lets eight times too many wait: all of them are late and are turned
-// away after half a second, while another region idles.
+// Guards against ignoring the queues of other instances. If each of eight instances considers only
+// its own eighth of the queue, they admit eight times too many requests; all of these are late and
+// are rejected after half a second, while another region is idle.
 TEST_F(LoadTest, QueuesOfOtherInstancesCount)
 {
     setEndpoints({endpoint("a", Plain, 6)});
@@ -161,13 +161,12 @@
     scheduler_.setRegionLoadReport(InstanceId("two"), busy, now_);
     const auto id = arrive(facts(Plain));
     EXPECT_TRUE(callers_[id].rejected);
-    EXPECT_EQ(callers_[id].heardAfter, Duration(0));
+    EXPECT_EQ(callers_[id].rejectedAfter, Duration(0));
 }
 
-// A request waits for its turn, and before that comes, the other instances of the region get more
-// work than the endpoints can do in time. Held on until its caller's patience is over, it would be
-// told a second later what was known at once, with no time left to try again.
-TEST_F(LoadTest, WaitingRequestIsTurnedAwayAsSoonAsItsTurnComesTooLate)
+// While a request is queued, the other instances of the region get more work than the endpoints can
+// complete in time. Guards against holding the request until its caller has no time left to retry.
+TEST_F(LoadTest, QueuedRequestIsRejectedAsSoonAsItWouldBeLate)
 {
     setEndpoints({endpoint("a", Plain, 6)});
     scheduler_.setFleet({InstanceId("one"), InstanceId("two")}, 2, {});
@@ -178,14 +177,15 @@
     ASSERT_FALSE(callers_[id].rejected);
     advance(milliseconds(50));
     busy.services = {{shortId(ServiceName(Plain)), 200, 12000, 0}};
-    take(scheduler_.setRegionLoadReport(InstanceId("two"), busy, now_));
+    apply(scheduler_.setRegionLoadReport(InstanceId("two"), busy, now_));
     EXPECT_TRUE(callers_[id].rejected);
-    EXPECT_LE(callers_[id].heardAfter, Duration(milliseconds(60)));
+    EXPECT_LE(callers_[id].rejectedAfter, Duration(milliseconds(60)));
     EXPECT_GT(callers_[id].retryAfter, Duration(milliseconds(700)));
 }
 
-// The same, and another region has room: it helps before the caller's objective is missed.
-TEST_F(LoadTest, CrowdedRegionIsHelpedByOneWithRoom)
+// The same with another region that has spare capacity: the request is forwarded before it misses
+// its objective.
+TEST_F(LoadTest, OverloadedRegionForwardsToOneWithSpareCapacity)
 {
     setEndpoints({endpoint("a", Plain, 6)});
     offerAway(Plain, 1000);
@@ -199,9 +199,9 @@
     EXPECT_NE(only<Forward>(scheduler_.submit(facts(Plain), now_)), nullptr);
 }
 
-// Another region reports a little room twice a second. All that this one would like to be rid of is
-// not sent there before the next report.
-TEST_F(LoadTest, OtherRegionIsNotOverrunBetweenTwoReports)
+// Guards against sending all excess requests to another region before its next report: it reports a
+// little spare capacity twice a second.
+TEST_F(LoadTest, OtherRegionIsNotOverloadedBetweenTwoReports)
 {
     setEndpoints({endpoint("a", Plain, 1)});
     offerAway(Plain, 20);
@@ -214,27 +214,27 @@
     EXPECT_LE(forwards, 10);
 }
 
-// Three instances of another region told of room. Then its failure domain is evacuated, and the
-// next report says that nothing is left. Averaged with the older ones it would still look like
-// room, and callers would lose a round trip there.
-TEST_F(LoadTest, RoomOfAnotherRegionEndsWithTheNewestReport)
+// Three instances of another region report spare capacity. Then its failure domain is evacuated,
+// and the next report says that none is left. Guards against averaging that report with the older
+// ones, which would cost callers a round trip.
+TEST_F(LoadTest, SpareCapacityOfAnotherRegionEndsWithTheNewestReport)
 {
     setEndpoints({endpoint("a", Plain, 6)});
     scheduler_.setFleet({InstanceId("one")}, 4, {RegionName("away")});
-    CrossRegionLoadReport share;
-    ServiceRoom room;
-    room.service = shortId(ServiceName(Plain));
-    room.endpoints = 4;
-    room.freePerSecond = 1000;
-    room.waitMs = 30;
-    share.rooms = {room};
+    CrossRegionLoadReport loadReport;
+    ServiceSpareCapacity spare;
+    spare.service = shortId(ServiceName(Plain));
+    spare.endpoints = 4;
+    spare.freePerSecond = 1000;
+    spare.waitMs = 30;
+    loadReport.spareCapacities = {spare};
     for (const auto *far : {"far-1", "far-2", "far-3"}) {
-        scheduler_.setCrossRegionLoadReport(RegionName("away"), InstanceId(far), share, now_);
+        scheduler_.setCrossRegionLoadReport(RegionName("away"), InstanceId(far), loadReport, now_);
     }
     pass(milliseconds(500));
-    share.rooms.front().endpoints = 0;
-    share.rooms.front().freePerSecond = 0;
-    scheduler_.setCrossRegionLoadReport(RegionName("away"), InstanceId("far-1"), share, now_);
+    loadReport.spareCapacities.front().endpoints = 0;
+    loadReport.spareCapacities.front().freePerSecond = 0;
+    scheduler_.setCrossRegionLoadReport(RegionName("away"), InstanceId("far-1"), loadReport, now_);
     RegionLoadReport busy;
     busy.uses = {{shortId(EndpointId("a")), FullWithQueue}};
     busy.services = {{shortId(ServiceName(Plain)), 83, 5000, 0}};
@@ -242,10 +242,11 @@
     EXPECT_EQ(only<Forward>(scheduler_.submit(facts(Plain), now_)), nullptr);
 }
 
-// Home is crowded, and another region could take two hundred short calls a second. What is free
-// there shrinks with each that was sent; whoever sends half of what is free comes to rest at a part
-// of it, and callers are turned away while places are empty.
-TEST_F(LoadTest, OtherRegionsRoomIsUsedAsFarAsItGoes)
+// The own region is overloaded, and another one can serve two hundred short calls per second. Its
+// reported spare capacity shrinks with each request sent there. Guards against using a fixed
+// fraction of what is reported: the rate would settle at a part of the capacity, and callers would
+// be rejected while slots are empty.
+TEST_F(LoadTest, SpareCapacityOfAnotherRegionIsFullyUsed)
 {
     constexpr int Possible = 200;
     constexpr milliseconds ReportInterval{250};
@@ -280,8 +281,8 @@
     EXPECT_LT(sentWithin(seconds(2)), 2 * Possible * 5 / 4);
 }
 
-// One endpoint of three takes ten times as long. It gets less than its share, since what it has not
-// finished counts.
+// One endpoint of three takes ten times as long. It gets fewer requests, since its unfinished ones
+// count.
 TEST_F(LoadTest, SlowEndpointGetsLess)
 {
     setEndpoints({endpoint("a", Plain, 6), endpoint("b", Plain, 6), endpoint("c", Plain, 6)});
@@ -294,15 +295,15 @@
         if (const auto *send = only<Send>(effects)) {
             ++sends[send->endpoint];
         }
-        take(effects);
+        apply(effects);
         advance(milliseconds(10));
     }
     EXPECT_LT(sends[EndpointId("c")], sends[EndpointId("a")] / 2);
 }
 
-// A few very long prompts come among many short ones. The short ones are not put behind them while
-// another engine has nothing to read.
-TEST_F(LoadTest, ShortRequestsAvoidEnginesThatReadLongPrompts)
+// Guards against queueing short requests behind a few very long prompts while another engine has
+// nothing to prefill.
+TEST_F(LoadTest, ShortRequestsAvoidEnginesWithLongPrefills)
 {
     setEndpoints({endpoint("a", Model), endpoint("b", Model)});
     auto huge = longCall(1);
@@ -318,8 +319,8 @@
     }
 }
 
-// A prompt takes longer to read than its objective even on an idle engine. It is late in any case,
-// but it is served: nobody would ever be, whose prompts are large.
+// A prompt whose prefill takes longer than its objective even on an idle engine is late in any
+// case, but it is served; otherwise callers with large prompts would never be served.
 TEST_F(LoadTest, LargestPromptsAreServed)
 {
     setEndpoints({endpoint("a", Model)});
@@ -328,7 +329,7 @@
     EXPECT_NE(only<Send>(scheduler_.submit(huge, now_)), nullptr);
 }
 
-// A caller leaves while its request waits: it costs nothing, and its place in the queue is free.
+// A request whose caller leaves while it is queued costs nothing and is removed from the queue.
 TEST_F(LoadTest, AbandonedRequestLeavesTheQueue)
 {
     setEndpoints({endpoint("a", Plain, 1)});
@@ -343,9 +344,9 @@
     EXPECT_FALSE(callers_[waiting].sentAt);
 }
 
-// An endpoint holds a lookup without a word. Another one may still answer in time; the caller would
-// else wait until it gives up.
-TEST_F(LoadTest, LookupIsTakenOffASilentEndpoint)
+// An endpoint does not answer a repeatable request. Another endpoint may still answer in time;
+// otherwise the caller would wait until its deadline.
+TEST_F(LoadTest, RepeatableRequestIsCancelledOnASilentEndpoint)
 {
     setEndpoints({endpoint("a", Plain), endpoint("b", Plain)});
     const auto call = facts(Plain);
@@ -356,10 +357,10 @@
     EXPECT_NE(only<CancelAttempt>(scheduler_.tick(now_)), nullptr);
 }
 
-// A request was forwarded, and the instance there takes it off a silent endpoint and sends it to
-// another one. Were it taken back here in the same moment, its caller would get an error just as
-// the answer comes.
-TEST_F(LoadTest, ForwardedRequestIsLeftToTheInstanceThatHasIt)
+// The instance that a request was forwarded to cancels it on a silent endpoint and sends it to
+// another one. Guards against cancelling it here at the same time: the caller would get an error
+// just as the answer arrives.
+TEST_F(LoadTest, ForwardedRequestIsNotCancelledWhenSilent)
 {
     offerAway(Plain, 100);
     ASSERT_NE(only<Forward>(scheduler_.submit(facts(Plain), now_)), nullptr);
