--- a/Source/UnitTests/Dispatch/ManyInstancesTest.cpp
+++ b/Source/UnitTests/Dispatch/ManyInstancesTest.cpp
@@ -16,16 +16,16 @@
 constexpr const char *ModelName = "model";
 constexpr milliseconds Step{5};
 constexpr milliseconds ReportInterval{250};
-/// Neighbours that hear an instance in one round.
+/// Number of peers that receive a load report.
 constexpr std::size_t Fanout = 16;
 constexpr milliseconds Floor{25};
 constexpr milliseconds WarmUp{2000};
-constexpr milliseconds Played{4000};
+constexpr milliseconds Measured{4000};
 constexpr double TokensPerMillisecond = 40;
 constexpr std::int64_t SharedTokens = 13000;
 constexpr std::int64_t OwnTokens = 3700;
 constexpr std::int64_t ShortTokens = 380;
-constexpr std::int64_t MemoryTokens = 300000;
+constexpr std::int64_t CacheTokens = 300000;
 constexpr milliseconds LongObjective{1200};
 constexpr milliseconds ShortObjective{800};
 constexpr milliseconds PlainObjective{400};
@@ -34,17 +34,17 @@
 
 struct Load
 {
-    /// Calls of about this length to a service that is no engine; zero: prompts for engines.
+    /// Mean duration of calls to a plain service; zero for prompts to engines.
     milliseconds plainCall{0};
     int engines = 24;
     int slots = 16;
-    /// Requests a second for each engine.
+    /// Requests per second and engine.
     double longPerEngine = 1.5;
     double shortPerEngine = 20;
-    /// 0: long prompts share nothing.
+    /// 0: long prompts share no parts.
     int sharedParts = 40;
-    /// Part of an engine's time that reading gets while it makes answers.
-    double readShare = 1;
+    /// Fraction of an engine's time that prefill gets while it generates answers.
+    double prefillFraction = 1;
 };
 
 struct Job
@@ -56,15 +56,15 @@
 {
     std::deque<Job> waiting;
     std::deque<Job> prompts;
-    std::optional<Job> reading;
-    Time readingUntil{};
+    std::optional<Job> prefilling;
+    Time prefillUntil{};
     std::map<CallId, std::pair<Job, Time>> answering;
-    PartCache memory;
+    PrefixCache cache;
     int served = 0;
 
     std::size_t running() const
     {
-        return prompts.size() + (reading ? 1 : 0) + answering.size();
+        return prompts.size() + (prefilling ? 1 : 0) + answering.size();
     }
 };
 struct Caller
@@ -76,30 +76,30 @@
     bool rejected = false;
 };
 
-/// The load of one region before the same engines, taken by any number of instances that tell each
-/// other of it as they do over the network: late, and to a few neighbours at a time.
-class RegionPlay
+/// Simulates the load of one region on any number of instances that use the same engines. As over
+/// the network, load reports arrive late and reach a few peers at a time.
+class RegionSimulation
 {
 public:
     struct Outcome
     {
-        double asked = 0;
+        double submitted = 0;
         double inTime = 0;
         double rejected = 0;
-        double longSent = 0;
-        double sharedRead = 0;
+        double longPrefills = 0;
+        double sharedPrefills = 0;
         double sharedCopied = 0;
         double busiest = 0;
         double mean = 0;
     };
 
-    RegionPlay(Load load, std::size_t instances)
+    RegionSimulation(Load load, std::size_t instances)
         : load_(load)
     {
         Catalog::Service model;
         model.name = ServiceName(ModelName);
         if (load.plainCall == milliseconds(0)) {
-            model.engine = Catalog::EngineTraits{load.slots, MemoryTokens, true};
+            model.engine = Catalog::EngineTraits{load.slots, CacheTokens, true};
         }
         std::vector<Catalog::ListedEndpoint> listed;
         for (int index = 0; index < load.engines; ++index) {
@@ -109,7 +109,7 @@
             engine.record.address = engine.record.id.text() + ":80";
             engine.record.slots = load.slots;
             listed.push_back(engine);
-            engines_[engine.record.id].memory.setCapacity(MemoryTokens * 7 / 10);
+            engines_[engine.record.id].cache.setCapacity(CacheTokens * 7 / 10);
         }
         for (std::size_t index = 0; index < instances; ++index) {
             ids_.emplace_back("instance-" + std::to_string(index));
@@ -122,8 +122,8 @@
             schedulers_.back()->setEndpoints(listed, {}, now_);
             schedulers_.back()->setFleet(ids_, instances, {});
         }
-        // Callers choose instances unevenly: the busiest is chosen four times as often as the
-        // least busy.
+        // The load of the instances is uneven: the busiest gets four times as many requests as the
+        // least busy one.
         std::vector<double> weights;
         for (std::size_t index = 0; index < instances; ++index) {
             weights.push_back(1
@@ -133,23 +133,23 @@
         chooseInstance_ = std::discrete_distribution<std::size_t>(weights.begin(), weights.end());
     }
 
-    Outcome play()
+    Outcome simulate()
     {
         const auto start = now_;
-        while (now_ - start < WarmUp + Played + milliseconds(1500)) {
-            arrivals(now_ - start < WarmUp + Played);
+        while (now_ - start < WarmUp + Measured + milliseconds(1500)) {
+            arrivals(now_ - start < WarmUp + Measured);
             now_ += Step;
-            counting_ = now_ - start > WarmUp && now_ - start < WarmUp + Played;
+            counting_ = now_ - start > WarmUp && now_ - start < WarmUp + Measured;
             for (auto &[id, engine] : engines_) {
                 advance(engine);
             }
             report();
             for (std::size_t index = 0; index < schedulers_.size(); ++index) {
-                take(index, schedulers_[index]->tick(now_));
+                apply(index, schedulers_[index]->tick(now_));
             }
             deliverNotices();
         }
-        return count(start + WarmUp, start + WarmUp + Played);
+        return count(start + WarmUp, start + WarmUp + Measured);
     }
 
 private:
@@ -159,12 +159,12 @@
             return;
         }
         const double seconds = Common::toSeconds(Step) * load_.engines;
-        std::poisson_distribution<int> longs(load_.longPerEngine * seconds);
-        std::poisson_distribution<int> shorts(load_.shortPerEngine * seconds);
-        for (int left = longs(random_); left > 0; --left) {
+        std::poisson_distribution<int> longArrivals(load_.longPerEngine * seconds);
+        std::poisson_distribution<int> shortArrivals(load_.shortPerEngine * seconds);
+        for (int left = longArrivals(random_); left > 0; --left) {
             arrive(true);
         }
-        for (int left = shorts(random_); left > 0; --left) {
+        for (int left = shortArrivals(random_); left > 0; --left) {
             arrive(false);
         }
     }
@@ -194,17 +194,17 @@
         call.fingerprint = call.id;
         callers_[call.id] = {call, isLong, EndpointId(), std::nullopt, false};
         const auto instance = chooseInstance_(random_);
-        take(instance, schedulers_[instance]->submit(call, now_));
+        apply(instance, schedulers_[instance]->submit(call, now_));
     }
 
-    void take(std::size_t instance, const Effects &effects)
+    void apply(std::size_t instance, const Effects &effects)
     {
         for (const auto &effect : effects) {
             if (const auto *send = std::get_if<Send>(&effect)) {
                 auto &engine = engines_.at(send->endpoint);
                 if (send->copyCacheFrom && callers_.at(send->call).isLong) {
                     copied_.insert(send->call);
-                    engine.memory.use(callers_.at(send->call).facts.parts.front());
+                    engine.cache.use(callers_.at(send->call).facts.parts.front());
                 }
                 engine.waiting.push_back({instance, send->call});
                 ++engine.served;
@@ -215,17 +215,17 @@
         }
     }
 
-    /// Places of a plain endpoint are freed and filled within a step.
+    /// Slots of a plain endpoint are freed and filled within a step.
     void advancePlain(Engine &engine)
     {
-        std::vector<std::pair<Job, Time>> over;
+        std::vector<std::pair<Job, Time>> finished;
         std::erase_if(engine.answering, [&](const auto &entry) {
             if (entry.second.second <= now_) {
-                over.push_back(entry.second);
+                finished.push_back(entry.second);
             }
             return entry.second.second <= now_;
         });
-        for (const auto &[job, at] : over) {
+        for (const auto &[job, at] : finished) {
             if (!engine.waiting.empty()) {
                 beginPlain(engine, at);
             }
@@ -234,7 +234,7 @@
             auto &scheduler = *schedulers_[job.instance];
             scheduler.answering(job.call, now_);
             scheduler.loadSeen(caller.sentTo, loadOf(engine), now_);
-            take(job.instance, scheduler.ended(job.call, AttemptOutcome::Completed, false, now_));
+            apply(job.instance, scheduler.ended(job.call, AttemptOutcome::Completed, false, now_));
         }
         while (!engine.waiting.empty()
                && engine.running() < static_cast<std::size_t>(load_.slots)) {
@@ -269,57 +269,58 @@
             engine.prompts.push_back(engine.waiting.front());
             engine.waiting.pop_front();
         }
-        while (engine.readingUntil <= now_ && (engine.reading || !engine.prompts.empty())) {
-            finishReading(engine);
+        while (engine.prefillUntil <= now_ && (engine.prefilling || !engine.prompts.empty())) {
+            finishPrefill(engine);
             if (engine.prompts.empty()) {
                 break;
             }
-            beginReading(engine);
+            beginPrefill(engine);
         }
-        std::vector<Job> over;
+        std::vector<Job> finished;
         std::erase_if(engine.answering, [&](const auto &entry) {
             if (entry.second.second <= now_) {
-                over.push_back(entry.second.first);
+                finished.push_back(entry.second.first);
             }
             return entry.second.second <= now_;
         });
-        for (const auto &job : over) {
-            take(job.instance, schedulers_[job.instance]->ended(job.call, AttemptOutcome::Completed,
-                                                                false, now_));
+        for (const auto &job : finished) {
+            apply(job.instance, schedulers_[job.instance]->ended(
+                                    job.call, AttemptOutcome::Completed, false, now_));
         }
     }
 
-    void beginReading(Engine &engine)
+    void beginPrefill(Engine &engine)
     {
-        engine.reading = engine.prompts.front();
+        engine.prefilling = engine.prompts.front();
         engine.prompts.pop_front();
-        const auto &caller = callers_.at(engine.reading->call);
-        const auto held = engine.memory.cachedTokens(caller.facts.parts);
-        const bool shares = !caller.facts.parts.empty();
-        if (shares && counting_) {
-            ++longRead_;
-            const bool again = readBefore_.count(caller.facts.parts.front().id) > 0;
-            sharedRead_ += held == 0 && again ? 1 : 0;
+        const auto &caller = callers_.at(engine.prefilling->call);
+        const auto cached = engine.cache.cachedTokens(caller.facts.parts);
+        const bool hasSharedPart = !caller.facts.parts.empty();
+        if (hasSharedPart && counting_) {
+            ++longPrefills_;
+            const bool again = prefilledBefore_.count(caller.facts.parts.front().id) > 0;
+            sharedPrefills_ += cached == 0 && again ? 1 : 0;
         }
-        if (shares) {
-            readBefore_.insert(caller.facts.parts.front().id);
+        if (hasSharedPart) {
+            prefilledBefore_.insert(caller.facts.parts.front().id);
         }
-        engine.memory.use(caller.facts.parts);
-        const auto tokens = static_cast<double>(caller.facts.promptTokens - held);
-        const double share = engine.answering.empty() ? 1 : load_.readShare;
-        const std::chrono::duration<double, std::milli> time(tokens / TokensPerMillisecond / share);
-        engine.readingUntil =
-            std::max(engine.readingUntil, now_ - Step) + std::chrono::duration_cast<Duration>(time);
+        engine.cache.use(caller.facts.parts);
+        const auto tokens = static_cast<double>(caller.facts.promptTokens - cached);
+        const double fraction = engine.answering.empty() ? 1 : load_.prefillFraction;
+        const std::chrono::duration<double, std::milli> time(tokens / TokensPerMillisecond
+                                                             / fraction);
+        engine.prefillUntil =
+            std::max(engine.prefillUntil, now_ - Step) + std::chrono::duration_cast<Duration>(time);
     }
 
-    void finishReading(Engine &engine)
+    void finishPrefill(Engine &engine)
     {
-        if (!engine.reading) {
+        if (!engine.prefilling) {
             return;
         }
-        const auto job = *std::exchange(engine.reading, std::nullopt);
+        const auto job = *std::exchange(engine.prefilling, std::nullopt);
         auto &caller = callers_.at(job.call);
-        caller.firstEventAt = engine.readingUntil + Floor;
+        caller.firstEventAt = engine.prefillUntil + Floor;
         const auto until = *caller.firstEventAt + (caller.isLong ? LongHold : ShortHold);
         engine.answering[job.call] = {job, until};
         schedulers_[job.instance]->answering(job.call, std::max(now_, *caller.firstEventAt));
@@ -333,7 +334,7 @@
                 continue;
             }
             reportAt_[from] += ReportInterval;
-            const auto share = schedulers_[from]->regionLoadReport(now_);
+            const auto loadReport = schedulers_[from]->regionLoadReport(now_);
             std::vector<std::size_t> receivers;
             for (std::size_t to = 0; to < schedulers_.size(); ++to) {
                 if (to != from) {
@@ -343,7 +344,7 @@
             std::shuffle(receivers.begin(), receivers.end(), random_);
             receivers.resize(std::min(receivers.size(), Fanout));
             for (const auto to : receivers) {
-                take(to, schedulers_[to]->setRegionLoadReport(ids_[from], share, now_));
+                apply(to, schedulers_[to]->setRegionLoadReport(ids_[from], loadReport, now_));
             }
         }
     }
@@ -368,13 +369,13 @@
             if (facts.arrivedAt < from || facts.arrivedAt >= until) {
                 continue;
             }
-            ++outcome.asked;
+            ++outcome.submitted;
             outcome.inTime += caller.firstEventAt && *caller.firstEventAt <= facts.objectiveAt;
             outcome.rejected += caller.rejected ? 1 : 0;
             outcome.sharedCopied += static_cast<double>(copied_.count(id));
         }
-        outcome.longSent = longRead_;
-        outcome.sharedRead = sharedRead_;
+        outcome.longPrefills = longPrefills_;
+        outcome.sharedPrefills = sharedPrefills_;
         for (const auto &[id, engine] : engines_) {
             outcome.busiest = std::max<double>(outcome.busiest, engine.served);
             outcome.mean += static_cast<double>(engine.served) / load_.engines;
@@ -393,57 +394,58 @@
     std::map<EndpointId, Engine> engines_;
     std::map<CallId, Caller> callers_;
     std::set<CallId> copied_;
-    std::set<std::uint64_t> readBefore_;
+    std::set<std::uint64_t> prefilledBefore_;
     bool counting_ = false;
-    double longRead_ = 0;
-    double sharedRead_ = 0;
+    double longPrefills_ = 0;
+    double sharedPrefills_ = 0;
 };
 
-/// What many instances may lose beside one that knows everything.
+/// Permitted loss of many instances compared to a single one, which has exact data.
 constexpr double Loss = 0.03;
 constexpr std::size_t InstanceCounts[] = {1, 4, 12, 40, 120};
 
-void expectLikeOne(Load load)
+void expectAsGoodAsOneInstance(Load load)
 {
-    const auto one = RegionPlay(load, 1).play();
+    const auto one = RegionSimulation(load, 1).simulate();
     for (const auto instances : InstanceCounts) {
-        const auto many = RegionPlay(load, instances).play();
-        EXPECT_GE(many.inTime / many.asked, one.inTime / one.asked - Loss) << instances;
-        EXPECT_LE(many.rejected / many.asked, one.rejected / one.asked + Loss) << instances;
+        const auto many = RegionSimulation(load, instances).simulate();
+        EXPECT_GE(many.inTime / many.submitted, one.inTime / one.submitted - Loss) << instances;
+        EXPECT_LE(many.rejected / many.submitted, one.rejected / one.submitted + Loss) << instances;
         if (load.longPerEngine > 0) {
-            EXPECT_LE(many.sharedRead / many.longSent, one.sharedRead / one.longSent + Loss)
+            EXPECT_LE(many.sharedPrefills / many.longPrefills,
+                      one.sharedPrefills / one.longPrefills + Loss)
                 << instances;
         }
     }
 }
 
-/// Requests as a multiple of what can be served.
+/// Request rate as a multiple of the capacity.
 constexpr double Overload = 1.4;
 
 Load longPromptsBeyondTheCapacity()
 {
     Load load;
     load.sharedParts = 0;
-    load.readShare = 0.33;
+    load.prefillFraction = 0.33;
     load.shortPerEngine = 0;
-    load.longPerEngine =
-        Overload * load.readShare * TokensPerMillisecond * 1000 / static_cast<double>(OwnTokens);
+    load.longPerEngine = Overload * load.prefillFraction * TokensPerMillisecond * 1000
+                         / static_cast<double>(OwnTokens);
     return load;
 }
 
 void expectBusyEngines(Load load, double capacity)
 {
     for (const auto instances : InstanceCounts) {
-        const auto many = RegionPlay(load, instances).play();
+        const auto many = RegionSimulation(load, instances).simulate();
         EXPECT_GE(many.inTime, 0.85 * capacity) << instances;
     }
 }
 
 } // namespace
 
-// Places of engines that are divided among instances are too few for each of them: requests are
-// turned away, and parts of prompts copied and read again, before engines that are half empty.
-TEST(ManyInstancesTest, HalfOfThePlacesServeAsManyAsOneInstanceWould)
+// Guards against dividing slots of engines among instances so that each has too few: requests would
+// be rejected, and parts of prompts copied and prefilled again, while engines are half empty.
+TEST(ManyInstancesTest, HalfOfTheSlotsServeAsManyAsOneInstanceWould)
 {
     for (const int slots : {8, 16, 64}) {
         Load load;
@@ -451,44 +453,44 @@
         load.shortPerEngine = 0.5 * slots / 0.35;
         load.shortPerEngine = std::min(load.shortPerEngine, 40.0);
         load.longPerEngine = slots < 16 ? 1.0 : 1.5;
-        expectLikeOne(load);
+        expectAsGoodAsOneInstance(load);
     }
 }
 
-// Near the capacity each instance waits for places that others fill and free.
+// Near the capacity each instance waits for slots that others fill and free.
 TEST(ManyInstancesTest, NearTheCapacityAsManyAreServedAsByOneInstance)
 {
     Load load;
     load.shortPerEngine = 0.75 * load.slots / 0.4;
     load.longPerEngine = 2;
-    expectLikeOne(load);
+    expectAsGoodAsOneInstance(load);
 }
 
-// Beyond the capacity the places are kept busy with what will be in time.
-TEST(ManyInstancesTest, BeyondTheCapacityThePlacesAreKeptBusy)
+// Beyond the capacity, slots are kept busy with requests that will be in time.
+TEST(ManyInstancesTest, BeyondTheCapacityTheSlotsAreKeptBusy)
 {
     Load load;
     load.longPerEngine = 0;
     const auto hold = std::chrono::duration<double>(ShortHold + Floor).count() + 0.0095;
     const double perEngine = load.slots / hold;
     load.shortPerEngine = Overload * perEngine;
-    expectBusyEngines(load, perEngine * load.engines * Common::toSeconds(Played));
+    expectBusyEngines(load, perEngine * load.engines * Common::toSeconds(Measured));
 }
 
-// Engines that make answers read at a third of the speed that they have alone, and no instance sees
-// many of their answers. What is let in at the speed of idle engines comes late.
+// Engines that generate answers prefill at a third of their idle speed, and no instance observes
+// many of their answers. Prompts that are admitted according to the speed of idle engines are late.
 TEST(ManyInstancesTest, BeyondTheCapacityLongPromptsThatAreLetInAreInTime)
 {
     const auto load = longPromptsBeyondTheCapacity();
     for (const auto instances : InstanceCounts) {
-        const auto many = RegionPlay(load, instances).play();
-        EXPECT_LE(many.asked - many.inTime - many.rejected, Loss * many.asked) << instances;
+        const auto many = RegionSimulation(load, instances).simulate();
+        EXPECT_LE(many.submitted - many.inTime - many.rejected, Loss * many.submitted) << instances;
     }
 }
 
-// A hundred instances share a few places of quick calls. What they tell each other of these is old
-// when it comes, and each has so few calls that its own say nothing.
-TEST(ManyInstancesTest, PlacesOfAPlainServiceServeAsManyAsOneInstanceWould)
+// A hundred instances share a few slots for short calls. Load reports are outdated when they
+// arrive, and each instance has too few calls of its own to estimate the load from.
+TEST(ManyInstancesTest, SlotsOfAPlainServiceServeAsManyAsOneInstanceWould)
 {
     for (const double use : {0.6, 0.85}) {
         Load load;
@@ -497,11 +499,11 @@
         load.slots = 6;
         load.longPerEngine = 0;
         load.shortPerEngine = use * load.slots / Common::toSeconds(load.plainCall);
-        expectLikeOne(load);
+        expectAsGoodAsOneInstance(load);
     }
 }
 
-TEST(ManyInstancesTest, BeyondTheCapacityPlacesOfAPlainServiceAreKeptBusy)
+TEST(ManyInstancesTest, BeyondTheCapacitySlotsOfAPlainServiceAreKeptBusy)
 {
     Load load;
     load.plainCall = milliseconds(30);
@@ -510,7 +512,7 @@
     load.longPerEngine = 0;
     const double perEndpoint = load.slots / Common::toSeconds(load.plainCall);
     load.shortPerEngine = Overload * perEndpoint;
-    expectBusyEngines(load, perEndpoint * load.engines * Common::toSeconds(Played));
+    expectBusyEngines(load, perEndpoint * load.engines * Common::toSeconds(Measured));
 }
 
 } // namespace LaburnumChute::Dispatch
--- a/Source/UnitTests/Dispatch/OptionOverridesTest.cpp
+++ b/Source/UnitTests/Dispatch/OptionOverridesTest.cpp
@@ -4,12 +4,12 @@
 
 namespace LaburnumChute::Dispatch {
 
-TEST(OptionOverridesTest, SetsWhatIsNamedAndNothingElse)
+TEST(OptionOverridesTest, SetsOnlyTheNamedOptions)
 {
     const auto options =
         withOverrides(DispatchOptions(), "read-share=0.5,copy-time=20,look-ahead=3");
     ASSERT_TRUE(options);
-    EXPECT_EQ(options->readShare, 0.5);
+    EXPECT_EQ(options->prefillFraction, 0.5);
     EXPECT_EQ(options->copyTime, milliseconds(20));
     EXPECT_EQ(options->lookAhead, 3U);
     EXPECT_EQ(options->queueLimit, DispatchOptions().queueLimit);
@@ -20,8 +20,9 @@
     ASSERT_TRUE(withOverrides(DispatchOptions(), ""));
 }
 
-// An operator mistypes an option of a trial. The trial would be taken for one with that option.
-TEST(OptionOverridesTest, WhatCannotBeUsedIsAnErrorThatNamesIt)
+// Guards against a mistyped option being ignored: the experiment would be taken for one with that
+// option.
+TEST(OptionOverridesTest, InvalidEntryIsReportedByName)
 {
     for (const auto *text : {"reed-share=0.5", "read-share", "read-share=", "read-share=-1",
                              "read-share=half", "read-share=nan", "read-share=0.5,,copy-time=20"}) {
--- a/Source/UnitTests/Dispatch/PlacementTest.cpp
+++ b/Source/UnitTests/Dispatch/PlacementTest.cpp
@@ -2,9 +2,9 @@
 
 namespace LaburnumChute::Dispatch {
 
-// A prompt's large shared part lies in one engine's memory. Reading it again elsewhere takes a
-// third of a second of an engine, for which others wait.
-TEST_F(SchedulerTest, RequestGoesWhereItsPromptIsHeld)
+// Guards against prefilling a large shared part again on another engine, which would take a third
+// of a second during which other requests wait.
+TEST_F(SchedulerTest, RequestGoesWhereItsPromptIsCached)
 {
     setEndpoints({endpoint("a", Model), endpoint("b", Model), endpoint("c", Model)});
     const auto first = longCall(1);
@@ -24,8 +24,8 @@
     }
 }
 
-// Many requests share one part. All at its holder they would wait for each other while the other
-// engines idle; the part is copied, which takes milliseconds.
+// Many requests share one part. If all went to the engine that has it cached, they would wait for
+// each other while other engines are idle; copying the part takes milliseconds.
 TEST_F(SchedulerTest, HotPartIsCopiedRatherThanWaitedFor)
 {
     setEndpoints({endpoint("a", Model), endpoint("b", Model), endpoint("c", Model)});
@@ -41,14 +41,14 @@
     EXPECT_GE(copies, 1);
 }
 
-// The part is held in another region only. Copying it costs a tenth of what reading it costs.
+// The part is cached in another region only. Copying it takes a tenth of the time of its prefill.
 TEST_F(SchedulerTest, PromptIsCopiedFromAnotherRegion)
 {
     setEndpoints({endpoint("a", Model)});
     scheduler_.setRemoteEndpoints({endpoint("far", Model)});
-    CrossRegionLoadReport share;
-    share.placements = {{shortId(EndpointId("far")), 1, SharedTokens}};
-    scheduler_.setCrossRegionLoadReport(RegionName("away"), InstanceId("two"), share, now_);
+    CrossRegionLoadReport loadReport;
+    loadReport.placements = {{shortId(EndpointId("far")), 1, SharedTokens}};
+    scheduler_.setCrossRegionLoadReport(RegionName("away"), InstanceId("two"), loadReport, now_);
     const auto effects = scheduler_.submit(longCall(1), now_);
     ASSERT_NE(only<Send>(effects), nullptr);
     EXPECT_EQ(only<Send>(effects)->copyCacheFrom, "far:80");
@@ -57,16 +57,16 @@
 TEST_F(SchedulerTest, WhatAnotherInstancePlacedIsKnownHere)
 {
     setEndpoints({endpoint("a", Model), endpoint("b", Model), endpoint("c", Model)});
-    RegionLoadReport share;
-    share.placements = {{shortId(EndpointId("b")), 1, SharedTokens}};
-    scheduler_.setRegionLoadReport(InstanceId("two"), share, now_);
+    RegionLoadReport loadReport;
+    loadReport.placements = {{shortId(EndpointId("b")), 1, SharedTokens}};
+    scheduler_.setRegionLoadReport(InstanceId("two"), loadReport, now_);
     const auto effects = scheduler_.submit(longCall(1), now_);
     EXPECT_EQ(only<Send>(effects)->endpoint, EndpointId("b"));
 }
 
-// Another instance sends an engine a long prompt, which is read for half a second. Until its next
-// report this instance would send there, too; its caller would wait behind that prompt while
-// another engine idles.
+// Another instance sends an engine a long prompt with half a second of prefill. Guards against
+// sending there before the next load report: the caller would wait behind that prompt while another
+// engine is idle.
 TEST_F(SchedulerTest, PromptsThatOthersJustSentAreKnownAtOnce)
 {
     setEndpoints({endpoint("a", Model), endpoint("b", Model)});
@@ -87,18 +87,18 @@
         call.promptTokens = 300;
         EXPECT_NE(only<Send>(scheduler_.submit(call, now_))->endpoint, busy);
     }
-    // The part is known, too: another request for it goes where it is.
+    // The cached part is known, too: another request with it is sent to the same engine.
     pass(seconds(2));
     EXPECT_EQ(only<Send>(scheduler_.submit(longCall(1), now_))->endpoint, busy);
 }
 
-// Seven streams run on an engine that reads prompts all the time, and none on another. One more
-// long prompt would stop all seven for as long as it is read: their callers would see them pause,
-// and some would not end in time.
+// One engine runs seven streams and prefills prompts all the time, another one runs none. Guards
+// against sending one more long prompt to the first: all seven streams would pause during its
+// prefill, and some would miss their deadline.
 TEST_F(SchedulerTest, LongPromptsKeepAwayFromEnginesWithManyStreams)
 {
     setEndpoints({endpoint("a", Model, 32), endpoint("b", Model, 32)});
-    // The engine has read for the last two seconds.
+    // The engine has been prefilling for the last two seconds.
     for (int index = 0; index < 4; ++index) {
         scheduler_.learn({InstanceId("two"), {{shortId(EndpointId("a")), 20000, {}}}}, now_);
         pass(milliseconds(600));
@@ -106,10 +106,10 @@
     RegionLoadReport busy;
     busy.uses = {{shortId(EndpointId("a")), 7}};
     scheduler_.setRegionLoadReport(InstanceId("two"), busy, now_);
-    // The other engine has something to read first.
+    // The other engine has to prefill another prompt first.
     scheduler_.learn({InstanceId("two"), {{shortId(EndpointId("b")), 8000, {}}}}, now_);
     auto effects = scheduler_.submit(longCall(1), now_);
-    // It may wait here until that has been read.
+    // The request may be queued until then.
     for (int step = 0; effects.empty() && step < 20; ++step) {
         pass(milliseconds(20));
         effects = scheduler_.tick(now_);
@@ -118,8 +118,8 @@
     EXPECT_EQ(only<Send>(effects)->endpoint, EndpointId("b"));
 }
 
-// Two instances get the first requests for a part in the same moment. Neither has told the other;
-// each would have another engine read it.
+// Two instances get the first requests for a part at the same time, before either has notified the
+// other. Guards against each having a different engine prefill it.
 TEST_F(SchedulerTest, InstancesAgreeOnTheEngineOfANewPart)
 {
     Scheduler other(DispatchOptions(), InstanceId("two"), RegionName("home"), 99, Time());
@@ -157,8 +157,8 @@
     }
 }
 
-// A failure domain is taken back into use. Its engines have had nothing for a while and may have
-// become cold; all that waits would go there at once.
+// The engines of a failure domain that returns to service may have become cold without requests.
+// Guards against sending all queued requests there at once.
 TEST_F(SchedulerTest, EndpointsThatComeBackFromAnEvacuationBeginWithFewRequests)
 {
     scheduler_.setEndpoints({endpoint("a", Model)}, {Common::FailureDomainName("zone")}, now_);
@@ -170,7 +170,7 @@
     EXPECT_LT(sent, 8);
 }
 
-// An address is used again by another endpoint, while the record of the former one is still there.
+// An address is reused by another endpoint while the record of the previous one still exists.
 TEST_F(SchedulerTest, OfTwoEndpointsAtOneAddressTheLaterOneCounts)
 {
     auto former = endpoint("a", Plain);
@@ -184,9 +184,8 @@
     }
 }
 
-// An endpoint whose port is closed looks idle and would draw every request, each of which fails
-// first.
-TEST_F(SchedulerTest, EndpointThatRefusesConnectionsRests)
+// Guards against an endpoint with a closed port attracting every request because it looks idle.
+TEST_F(SchedulerTest, EndpointThatRefusesConnectionsIsEjected)
 {
     setEndpoints({endpoint("a", Plain), endpoint("b", Plain)});
     int failures = 0;
@@ -203,7 +202,8 @@
     EXPECT_LE(failures, 4);
 }
 
-// It is back; after its rest one request goes first and then all may.
+// After its ejection time an endpoint gets a single probe request first; when that succeeds, it
+// gets all others.
 TEST_F(SchedulerTest, EndpointThatAnswersAgainIsInService)
 {
     setEndpoints({endpoint("a", Plain)});
@@ -211,10 +211,10 @@
     scheduler_.submit(first, now_);
     scheduler_.ended(first.id, AttemptOutcome::NotConnected, true, now_);
     pass(milliseconds(300));
-    const auto trial = facts(Plain);
-    ASSERT_NE(only<Send>(scheduler_.submit(trial, now_)), nullptr);
+    const auto probe = facts(Plain);
+    ASSERT_NE(only<Send>(scheduler_.submit(probe, now_)), nullptr);
     EXPECT_EQ(only<Send>(scheduler_.submit(facts(Plain), now_)), nullptr);
-    const auto effects = scheduler_.ended(trial.id, AttemptOutcome::Completed, false, now_);
+    const auto effects = scheduler_.ended(probe.id, AttemptOutcome::Completed, false, now_);
     EXPECT_NE(only<Send>(effects), nullptr);
 }
 
@@ -238,15 +238,16 @@
     EXPECT_NE(only<Reject>(scheduler_.submit(call, now_)), nullptr);
 }
 
-// A region's only endpoint of a service is being replaced: its callers are served elsewhere.
-TEST_F(SchedulerTest, RegionWithoutAnEndpointIsHelpedByAnother)
+// The only endpoint of a service in a region is being replaced: requests are forwarded to another
+// region.
+TEST_F(SchedulerTest, RegionWithoutAnEndpointForwardsToAnother)
 {
     offerAway(Plain, 100);
     EXPECT_NE(only<Forward>(scheduler_.submit(facts(Plain), now_)), nullptr);
 }
 
-// One request crashes whatever runs it, and its caller sends it again. Without a bound it takes
-// down one endpoint after the other.
+// A request crashes every endpoint that runs it, and its caller retries it. Guards against it
+// crashing one endpoint after the other.
 TEST_F(SchedulerTest, RequestThatCrashesItsEndpointsIsRejected)
 {
     setEndpoints(
@@ -260,7 +261,7 @@
         const auto *send = only<Send>(effects);
         if (send == nullptr) {
             EXPECT_EQ(only<Reject>(effects)->reason, RejectReason::Quarantined);
-            // It would be turned away again until the quarantine is over.
+            // It would be rejected again until the quarantine ends.
             EXPECT_GE(only<Reject>(effects)->retryAfter, seconds(300));
             continue;
         }
@@ -270,15 +271,15 @@
         // Other requests find the port closed.
         for (int probe = 0; probe < 12; ++probe) {
             auto innocent = facts(Plain);
-            auto tried = scheduler_.submit(innocent, now_);
-            while (only<Send>(tried) != nullptr) {
-                const bool dead = only<Send>(tried)->endpoint == crashed;
-                tried = scheduler_.ended(
+            auto effects = scheduler_.submit(innocent, now_);
+            while (only<Send>(effects) != nullptr) {
+                const bool dead = only<Send>(effects)->endpoint == crashed;
+                effects = scheduler_.ended(
                     innocent.id, dead ? AttemptOutcome::NotConnected : AttemptOutcome::Completed,
                     true, now_);
             }
         }
-        // The crashed endpoint comes back as a new life under its id.
+        // The crashed endpoint restarts under its old id.
         pass(seconds(4));
         for (auto &each : endpoints_) {
             each.record.startedAt += each.record.id == crashed ? 1 : 0;
--- a/Source/UnitTests/Dispatch/ReadingQueueTest.cpp
+++ b/Source/UnitTests/Dispatch/PrefillQueueTest.cpp
@@ -8,12 +8,11 @@
 
 constexpr Time Start = Time(seconds(100));
 
-// Two instances send an engine a prompt of 400 ms each in the same moment. Each sum by itself has
-// run off after 400 ms, while the engine still reads: a third prompt would be promised an idle
-// engine.
-TEST(ReadingQueueTest, PromptsAreReadOneAfterTheOther)
+// Two instances send an engine a prompt with 400 ms of prefill at the same time. Guards against
+// counting both down in parallel: after 400 ms the engine would seem idle while it is still busy.
+TEST(PrefillQueueTest, PromptsArePrefilledOneAfterTheOther)
 {
-    ReadingQueue queue;
+    PrefillQueue queue;
     queue.add(Start, milliseconds(400));
     queue.add(Start, milliseconds(400));
     EXPECT_EQ(queue.wait(Start), Duration(milliseconds(800)));
@@ -21,43 +20,43 @@
     EXPECT_EQ(queue.wait(Start + seconds(2)), Duration(0));
 }
 
-// An engine has been idle for a while. The time that passed does not count towards what comes next.
-TEST(ReadingQueueTest, IdleTimeIsNotSavedUp)
+// Time during which an engine was idle does not count towards later prompts.
+TEST(PrefillQueueTest, IdleTimeIsNotAccumulated)
 {
-    ReadingQueue queue;
+    PrefillQueue queue;
     queue.add(Start, milliseconds(10));
     queue.add(Start + seconds(5), milliseconds(400));
     EXPECT_EQ(queue.wait(Start + seconds(5)), Duration(milliseconds(400)));
 }
 
-// The first event of a prompt comes early. What was sent before it has been read, too.
-TEST(ReadingQueueTest, AFirstEventShowsWhatHasBeenRead)
+// The first event of a prompt is early: the prompts that were sent before it are prefilled, too.
+TEST(PrefillQueueTest, FirstEventCompletesEarlierPrompts)
 {
-    ReadingQueue queue;
+    PrefillQueue queue;
     queue.add(Start, milliseconds(300));
     queue.add(Start + milliseconds(10), milliseconds(300));
     queue.add(Start + milliseconds(20), milliseconds(100));
-    queue.readUpTo(Start + milliseconds(10), Start + milliseconds(50));
+    queue.prefilledUpTo(Start + milliseconds(10), Start + milliseconds(50));
     EXPECT_EQ(queue.wait(Start + milliseconds(50)), Duration(milliseconds(100)));
 }
 
-// A caller leaves before its prompt is read. Its engine is no longer kept from others for it.
-TEST(ReadingQueueTest, AnAbandonedPromptIsNotWaitedFor)
+// A caller leaves before the prefill of its prompt: others do not wait for it any more.
+TEST(PrefillQueueTest, CancelledPromptIsNotWaitedFor)
 {
-    ReadingQueue queue;
+    PrefillQueue queue;
     queue.add(Start, milliseconds(300));
     queue.add(Start + milliseconds(10), milliseconds(200));
     queue.remove(Start, Start + milliseconds(10));
     EXPECT_EQ(queue.wait(Start + milliseconds(10)), Duration(milliseconds(200)));
 }
 
-// An engine that makes tokens for others reads a prompt for half a second. Meanwhile it is sent
-// something short. Had time run off in one way at that moment and in another between two prompts,
-// the wait would shrink by the new prompt, and requests be promised what the engine cannot keep.
-TEST(ReadingQueueTest, WhatIsAddedMeanwhileDoesNotShortenTheWait)
+// A short prompt is added while an engine prefills a long one for half a second. Guards against
+// accounting for the passed time differently when a prompt is added: the wait would shrink, and
+// requests would be sent that the engine cannot answer in time.
+TEST(PrefillQueueTest, AddingAPromptDoesNotShortenTheWait)
 {
-    ReadingQueue queue;
-    ReadingQueue undisturbed;
+    PrefillQueue queue;
+    PrefillQueue undisturbed;
     queue.add(Start, milliseconds(500));
     undisturbed.add(Start, milliseconds(500));
     for (const milliseconds after : {milliseconds(100), milliseconds(200), milliseconds(300)}) {
--- a/Source/UnitTests/Dispatch/PartCacheTest.cpp
+++ b/Source/UnitTests/Dispatch/PrefixCacheTest.cpp
@@ -1,22 +1,22 @@
 #include <gtest/gtest.h>
 
-#include "Dispatch/PartCache.h"
+#include "Dispatch/PrefixCache.h"
 
 namespace LaburnumChute::Dispatch {
 
 using Dialect::PromptPart;
 
-TEST(PartCacheTest, PartCountsOnlyWithAllBeforeIt)
+TEST(PrefixCacheTest, PartCountsOnlyWithAllBeforeIt)
 {
-    PartCache cache(1000);
+    PrefixCache cache(1000);
     cache.use(std::vector<PromptPart>{{1, 100}, {2, 50}});
     EXPECT_EQ(cache.cachedTokens({{1, 100}, {2, 50}, {3, 10}}), 150);
     EXPECT_EQ(cache.cachedTokens({{9, 100}, {2, 50}}), 0);
 }
 
-TEST(PartCacheTest, LeastRecentlyUsedPartYields)
+TEST(PrefixCacheTest, LeastRecentlyUsedPartIsEvicted)
 {
-    PartCache cache(250);
+    PrefixCache cache(250);
     cache.use(PromptPart{1, 100});
     cache.use(PromptPart{2, 100});
     cache.use(PromptPart{1, 100});
@@ -25,18 +25,18 @@
     EXPECT_EQ(cache.cachedTokens({{2, 100}}), 0);
 }
 
-// The first part of a prompt must be the last of it to yield: without it the rest is worth nothing.
-TEST(PartCacheTest, PartsOfOnePromptYieldFromItsEnd)
+// The first part of a prompt must be evicted last: the others are useless without it.
+TEST(PrefixCacheTest, PartsOfOnePromptAreEvictedFromItsEnd)
 {
-    PartCache cache(200);
+    PrefixCache cache(200);
     cache.use(std::vector<PromptPart>{{1, 100}, {2, 100}});
     cache.use(PromptPart{3, 50});
     EXPECT_EQ(cache.cachedTokens({{1, 100}, {2, 100}}), 100);
 }
 
-TEST(PartCacheTest, SmallerCapacityEvictsAtOnce)
+TEST(PrefixCacheTest, SmallerCapacityEvictsAtOnce)
 {
-    PartCache cache(1000);
+    PrefixCache cache(1000);
     cache.use(std::vector<PromptPart>{{1, 100}, {2, 100}});
     cache.setCapacity(100);
     EXPECT_EQ(cache.parts().size(), 1U);
--- a/Source/UnitTests/Dispatch/RateLimitTest.cpp
+++ b/Source/UnitTests/Dispatch/RateLimitTest.cpp
@@ -61,7 +61,7 @@
         }
     }
 
-    void play(seconds time, double requestsPerSecond)
+    void simulate(seconds time, double requestsPerSecond)
     {
         const auto end = now_ + time;
         std::poisson_distribution<int> arrivals(requestsPerSecond * Common::toSeconds(Step));
@@ -73,7 +73,7 @@
             }
             sendReports();
             for (std::size_t index = 0; index < schedulers_.size(); ++index) {
-                take(index, schedulers_[index]->tick(now_));
+                apply(index, schedulers_[index]->tick(now_));
             }
         }
     }
@@ -153,10 +153,10 @@
         call.fingerprint = call.id;
         arrivedAt_[call.id] = now_;
         const auto instance = chooseInstance_(random_);
-        take(instance, schedulers_[instance]->submit(call, now_));
+        apply(instance, schedulers_[instance]->submit(call, now_));
     }
 
-    void take(std::size_t instance, const Effects &effects)
+    void apply(std::size_t instance, const Effects &effects)
     {
         for (const auto &effect : effects) {
             if (const auto *send = std::get_if<Send>(&effect)) {
@@ -183,7 +183,7 @@
             auto &scheduler = *schedulers_[run.instance];
             scheduler.limitSeen(run.endpoint, limits_.at(run.endpoint), now_);
             scheduler.answering(run.call, now_);
-            take(run.instance, scheduler.ended(run.call, AttemptOutcome::Completed, false, now_));
+            apply(run.instance, scheduler.ended(run.call, AttemptOutcome::Completed, false, now_));
         }
     }
 
@@ -194,7 +194,7 @@
                 continue;
             }
             reportAt_[from] += ReportInterval;
-            const auto share = schedulers_[from]->regionLoadReport(now_);
+            const auto loadReport = schedulers_[from]->regionLoadReport(now_);
             std::vector<std::size_t> receivers;
             for (std::size_t to = 0; to < schedulers_.size(); ++to) {
                 if (to != from) {
@@ -204,7 +204,7 @@
             std::shuffle(receivers.begin(), receivers.end(), random_);
             receivers.resize(std::min(receivers.size(), Fanout));
             for (const auto to : receivers) {
-                take(to, schedulers_[to]->setRegionLoadReport(ids_[from], share, now_));
+                apply(to, schedulers_[to]->setRegionLoadReport(ids_[from], loadReport, now_));
             }
         }
     }
@@ -236,7 +236,7 @@
         for (const double limit : {0.3, 1.0, 5.4, 20.0}) {
             SimulatedRegion region(instances, {limit, std::nullopt, std::nullopt, std::nullopt});
             const auto start = region.now();
-            region.play(seconds(20), 120);
+            region.simulate(seconds(20), 120);
             EXPECT_LE(region.mostInSpan("e0", start + SettlingTime), allowedIn(limit))
                 << instances << " instances, limit " << limit;
             EXPECT_GT(region.perSecondSince("e1", start), limit) << instances;
@@ -250,9 +250,9 @@
     for (const auto instances : InstanceCounts) {
         constexpr double Limit = 8;
         SimulatedRegion region(instances, {Limit, Limit, Limit, Limit});
-        region.play(seconds(5), 120);
+        region.simulate(seconds(5), 120);
         const auto start = region.now();
-        region.play(seconds(15), 120);
+        region.simulate(seconds(15), 120);
         double used = 0;
         for (const auto *endpoint : {"e0", "e1", "e2", "e3"}) {
             EXPECT_LE(region.mostInSpan(endpoint, start), allowedIn(Limit)) << instances;
@@ -271,11 +271,11 @@
         constexpr double Limit = 5.4;
         SimulatedRegion region(instances, {Limit, std::nullopt});
         const auto start = region.now();
-        region.play(seconds(8), 120);
+        region.simulate(seconds(8), 120);
         region.stopInstances(instances / 2);
-        region.play(seconds(8), 120);
+        region.simulate(seconds(8), 120);
         region.stopInstances(instances / 4);
-        region.play(seconds(8), 120);
+        region.simulate(seconds(8), 120);
         EXPECT_LE(region.mostInSpan("e0", start + SettlingTime), allowedIn(Limit)) << instances;
     }
 }
@@ -285,11 +285,11 @@
 {
     for (const auto instances : InstanceCounts) {
         SimulatedRegion region(instances, {0.0, std::nullopt});
-        region.play(seconds(8), 120);
+        region.simulate(seconds(8), 120);
         region.setLimit("e0", std::nullopt);
-        region.play(seconds(8), 120);
+        region.simulate(seconds(8), 120);
         const auto ended = region.now();
-        region.play(seconds(4), 120);
+        region.simulate(seconds(4), 120);
         EXPECT_GT(region.perSecondSince("e0", ended), 30) << instances;
     }
 }
@@ -328,9 +328,9 @@
 TEST_F(SchedulerTest, LimitReportedByAPeerIsEnforced)
 {
     setEndpoints({endpoint("a", Plain)});
-    RegionLoadReport share;
-    share.limits = {{shortId(EndpointId("a")), true, 0.3, 10}};
-    scheduler_.setRegionLoadReport(InstanceId("two"), share, now_);
+    RegionLoadReport loadReport;
+    loadReport.limits = {{shortId(EndpointId("a")), true, 0.3, 10}};
+    scheduler_.setRegionLoadReport(InstanceId("two"), loadReport, now_);
     const auto effects = scheduler_.submit(facts(Plain), now_);
     const auto *reject = only<Reject>(effects);
     ASSERT_NE(reject, nullptr);
--- a/Source/UnitTests/Dispatch/RetryTest.cpp
+++ b/Source/UnitTests/Dispatch/RetryTest.cpp
@@ -2,9 +2,9 @@
 
 namespace LaburnumChute::Dispatch {
 
-// The other region's endpoints fail the request, and its instance has used up the tries that the
-// route allows. Were the request then tried at home, it would run on more endpoints than its
-// operator permits, each of which pays for it.
+// The other region's endpoints failed the request, and its instance used up the runs that the route
+// allows. Guards against another run at home: the request would run on more endpoints than its
+// operator permits, and each run costs money.
 TEST_F(SchedulerTest, RequestThatRanInAnotherRegionIsNotTriedAtHome)
 {
     setEndpoints({endpoint("a", Plain)});
@@ -18,8 +18,9 @@
     EXPECT_NE(only<Fail>(effects), nullptr);
 }
 
-// A lookup failed at home and goes on to another region. Were the instance there told of all the
-// tries that the route allows, it would run on one endpoint too many.
+// A repeatable request failed at home and is forwarded to another region. Guards against telling
+// the instance there the full number of runs that the route allows: one endpoint too many would run
+// it.
 TEST_F(SchedulerTest, TriesMadeAtHomeAreNotMadeAgainElsewhere)
 {
     setEndpoints({endpoint("a", Plain)});
@@ -33,9 +34,9 @@
     EXPECT_EQ(forward->maxRuns, call.maxRuns - 1);
 }
 
-// An endpoint answers a lookup with an error of its own. The caller would see a failure although a
-// second run would most likely succeed.
-TEST_F(SchedulerTest, RepeatableRequestIsTriedOnceMoreAfterAnError)
+// An endpoint answers a repeatable request with an error of its own. Guards against returning the
+// error although a second run would most likely succeed.
+TEST_F(SchedulerTest, RepeatableRequestIsRetriedAfterAnError)
 {
     setEndpoints({endpoint("a", Plain), endpoint("b", Plain)});
     const auto call = facts(Plain);
@@ -47,7 +48,7 @@
     EXPECT_NE(only<Fail>(scheduler_.ended(call.id, AttemptOutcome::Error, true, now_)), nullptr);
 }
 
-// The connection breaks under an order. It may have run; a second run would be a second order.
+// The connection breaks during an order, which may have run; a second run would be a second order.
 TEST_F(SchedulerTest, OrderIsNotSentAgainAfterABrokenConnection)
 {
     setEndpoints({endpoint("a", Plain), endpoint("b", Plain)});
@@ -56,7 +57,7 @@
     EXPECT_NE(only<Fail>(scheduler_.ended(call.id, AttemptOutcome::Broken, true, now_)), nullptr);
 }
 
-// The endpoint's port is closed, so that nothing was sent: another endpoint may have the order.
+// The endpoint's port is closed, so the order was not sent and may go to another endpoint.
 TEST_F(SchedulerTest, OrderThatWasNotSentGoesToAnotherEndpoint)
 {
     setEndpoints({endpoint("a", Plain), endpoint("b", Plain)});
@@ -67,9 +68,9 @@
     EXPECT_NE(only<Send>(first)->endpoint, only<Send>(second)->endpoint);
 }
 
-// Endpoints refuse an order one after the other, each saying that it has not run. The caller hears
-// at once that it has not, and when to come back.
-TEST_F(SchedulerTest, OrderThatNobodyTookIsRejectedAsNotRun)
+// All endpoints reject an order as not run. The caller is told at once that it has not run and when
+// to retry.
+TEST_F(SchedulerTest, OrderRejectedByAllEndpointsIsRejectedAsNotRun)
 {
     setEndpoints({endpoint("a", Plain)});
     const auto call = facts(Plain, RequestKind::AtMostOnce);
@@ -80,7 +81,8 @@
     EXPECT_GT(reject->retryAfter, Duration(0));
 }
 
-// After an unknown try no endpoint is left. "Not run" would be a lie on which the caller acts.
+// After an attempt with unknown outcome no endpoint is left. The request must not be reported as
+// not run, since the caller would rely on that.
 TEST_F(SchedulerTest, NothingThatMayHaveRunIsRejectedAsNotRun)
 {
     setEndpoints({endpoint("a", Plain), endpoint("b", Plain)});
@@ -91,8 +93,8 @@
     EXPECT_NE(only<Fail>(effects), nullptr);
 }
 
-// All endpoints fail nearly half of what they get. Without a bound each failure would be sent again
-// and the load would grow by half just then.
+// All endpoints fail nearly half of their requests. Guards against retrying each failure, which
+// would increase the load by half just then.
 TEST_F(SchedulerTest, RetriesStayWithinTheBudgetWhenEverythingFails)
 {
     Catalog::Bounds bounds;
@@ -116,9 +118,9 @@
     EXPECT_LE(retries, 0.2 * Requests + 10);
 }
 
-// An endpoint breaks off a request after its objective has passed. It may have run, so that its
-// caller can't be told to come back; the other engine would begin with it after an eighth of a
-// second, long before the deadline. Late is better than an error.
+// An endpoint drops a request after its objective has passed. The request may have run, so it
+// cannot be rejected for a retry; the other engine would start it after an eighth of a second, long
+// before the deadline. A late answer is better than an error.
 TEST_F(SchedulerTest, SecondTryIsMadeLateRatherThanGivenUp)
 {
     setEndpoints({endpoint("a", Model), endpoint("b", Model)});
--- a/Source/UnitTests/Dispatch/Support.h
+++ b/Source/UnitTests/Dispatch/Support.h
@@ -10,7 +10,7 @@
 
 namespace LaburnumChute::Dispatch {
 
-/// A scheduler of the region "home" with endpoints that the test names, and a clock that it moves.
+/// A scheduler in the region "home" with endpoints set by the test and a simulated clock.
 class SchedulerTest : public testing::Test
 {
 protected:
@@ -69,7 +69,7 @@
         return facts;
     }
 
-    /// A request with a large shared part, named by the number, and one of its own.
+    /// A request with a large shared part, identified by the number, and a part of its own.
     CallFacts longCall(std::uint64_t sharedPart)
     {
         auto result = facts(Model, RequestKind::Stream);
@@ -85,18 +85,20 @@
         return effects.size() == 1 ? std::get_if<Kind>(&effects.front()) : nullptr;
     }
 
-    /// Requests a second that the region "away" would take, told by its instance "far".
+    /// Lets the instance "far" of the region "away" report spare capacity of perSecond requests per
+    /// second.
     void offerAway(const char *service, int perSecond)
     {
         scheduler_.setFleet({InstanceId("one")}, 2, {RegionName("away")});
-        CrossRegionLoadReport share;
-        ServiceRoom room;
-        room.service = shortId(ServiceName(service));
-        room.endpoints = 4;
-        room.freePerSecond = static_cast<std::uint32_t>(perSecond);
-        room.waitMs = 30;
-        share.rooms = {room};
-        scheduler_.setCrossRegionLoadReport(RegionName("away"), InstanceId("far"), share, now_);
+        CrossRegionLoadReport loadReport;
+        ServiceSpareCapacity spare;
+        spare.service = shortId(ServiceName(service));
+        spare.endpoints = 4;
+        spare.freePerSecond = static_cast<std::uint32_t>(perSecond);
+        spare.waitMs = 30;
+        loadReport.spareCapacities = {spare};
+        scheduler_.setCrossRegionLoadReport(RegionName("away"), InstanceId("far"), loadReport,
+                                            now_);
     }
 
     void pass(milliseconds time)
--- a/Source/UnitTests/Dispatch/UnlikeEnginesTest.cpp
+++ b/Source/UnitTests/Dispatch/UnlikeEnginesTest.cpp
@@ -19,31 +19,31 @@
 constexpr milliseconds Hold{500};
 constexpr milliseconds Step{5};
 constexpr milliseconds WarmUp{3000};
-/// Requests that are counted at least: fewer say nothing about one in a hundred.
-constexpr double Counted = 2000;
+/// Minimum number of requests to count: fewer do not resolve one percent.
+constexpr double MinRequests = 2000;
 constexpr std::int64_t PromptTokens = 3000;
 
 struct EngineKind
 {
-    /// Tokens of prompts that it reads in a millisecond.
+    /// Prompt tokens prefilled per millisecond.
     double rate;
     int slots;
 };
 
-/// Engines of any speed and size, none of whose figures is told to the scheduler, and requests at a
-/// part of what they can read.
-class EnginePlay
+/// Simulates engines of different speed and size that the scheduler does not know in advance, with
+/// a request rate relative to their capacity.
+class EngineSimulation
 {
 public:
     struct Outcome
     {
-        double asked = 0;
+        double submitted = 0;
         double inTime = 0;
         double rejected = 0;
         double rejectedAtOnce = 0;
     };
 
-    explicit EnginePlay(EngineKind kind)
+    explicit EngineSimulation(EngineKind kind)
         : kind_(kind)
         , scheduler_(DispatchOptions(), InstanceId("one"), RegionName("home"), 7, Time())
     {
@@ -63,16 +63,16 @@
         scheduler_.setEndpoints(listed, {}, now_);
     }
 
-    /// @param load requests as a part of the capacity
-    Outcome play(double load)
+    /// @param load request rate as a fraction of the capacity
+    Outcome simulate(double load)
     {
         const auto start = now_;
-        const auto played =
-            milliseconds(static_cast<std::int64_t>(1000 * Counted / (load * capacity())));
+        const auto measured =
+            milliseconds(static_cast<std::int64_t>(1000 * MinRequests / (load * capacity())));
         std::mt19937 random(5);
         std::exponential_distribution<double> gap(load * capacity());
         auto next = std::chrono::duration<double>(0);
-        while (now_ - start < WarmUp + played + 2 * Objective) {
+        while (now_ - start < WarmUp + measured + 2 * Objective) {
             while (start + std::chrono::duration_cast<Duration>(next) <= now_) {
                 next += std::chrono::duration<double>(gap(random));
                 arrive();
@@ -81,16 +81,16 @@
             for (auto &[id, engine] : engines_) {
                 advance(engine);
             }
-            take(scheduler_.tick(now_));
+            apply(scheduler_.tick(now_));
         }
-        return count(start + WarmUp, start + WarmUp + played);
+        return count(start + WarmUp, start + WarmUp + measured);
     }
 
 private:
     struct Engine
     {
         std::deque<CallId> prompts;
-        Time readingUntil{};
+        Time prefillUntil{};
         std::map<CallId, Time> answering;
     };
     struct Caller
@@ -100,22 +100,22 @@
         std::optional<Time> rejectedAt;
     };
 
-    Duration readTime() const
+    Duration prefillTime() const
     {
         const Common::Duration time = std::chrono::duration_cast<Duration>(
             std::chrono::duration<double, std::milli>(PromptTokens / kind_.rate));
         return time;
     }
 
-    /// What the engines can read a second, bounded by the places that answers hold.
+    /// Requests per second that the engines can prefill, bounded by the slots that answers hold.
     double capacity() const
     {
-        const double reading = 1 / std::chrono::duration<double>(readTime()).count();
-        const auto occupied = std::chrono::duration<double>(readTime() + Hold).count();
-        return Engines * std::min(reading, kind_.slots / occupied);
+        const double prefillsPerSecond = 1 / std::chrono::duration<double>(prefillTime()).count();
+        const auto occupied = std::chrono::duration<double>(prefillTime() + Hold).count();
+        return Engines * std::min(prefillsPerSecond, kind_.slots / occupied);
     }
 
-    void take(const Effects &effects)
+    void apply(const Effects &effects)
     {
         for (const auto &effect : effects) {
             if (const auto *send = std::get_if<Send>(&effect)) {
@@ -128,11 +128,11 @@
 
     void advance(Engine &engine)
     {
-        while (!engine.prompts.empty() && engine.readingUntil <= now_) {
+        while (!engine.prompts.empty() && engine.prefillUntil <= now_) {
             const auto id = engine.prompts.front();
             auto &caller = callers_.at(id);
-            if (reading_.insert(id).second) {
-                engine.readingUntil = now_ + readTime();
+            if (prefilling_.insert(id).second) {
+                engine.prefillUntil = now_ + prefillTime();
                 break;
             }
             engine.prompts.pop_front();
@@ -140,15 +140,15 @@
             engine.answering[id] = now_ + Floor + Hold;
             scheduler_.answering(id, now_ + Floor);
         }
-        std::vector<CallId> over;
+        std::vector<CallId> finished;
         for (const auto &[id, until] : engine.answering) {
             if (until <= now_) {
-                over.push_back(id);
+                finished.push_back(id);
             }
         }
-        for (const auto id : over) {
+        for (const auto id : finished) {
             engine.answering.erase(id);
-            take(scheduler_.ended(id, AttemptOutcome::Completed, false, now_));
+            apply(scheduler_.ended(id, AttemptOutcome::Completed, false, now_));
         }
     }
 
@@ -164,7 +164,7 @@
         call.promptTokens = PromptTokens;
         call.fingerprint = call.id;
         callers_[call.id].arrivedAt = now_;
-        take(scheduler_.submit(call, now_));
+        apply(scheduler_.submit(call, now_));
     }
 
     Outcome count(Time from, Time until) const
@@ -174,7 +174,7 @@
             if (caller.arrivedAt < from || caller.arrivedAt >= until) {
                 continue;
             }
-            ++outcome.asked;
+            ++outcome.submitted;
             const bool inTime =
                 caller.firstEventAt && *caller.firstEventAt - caller.arrivedAt <= Objective;
             outcome.inTime += inTime ? 1 : 0;
@@ -192,25 +192,25 @@
     CallId nextId_ = 1;
     std::map<EndpointId, Engine> engines_;
     std::map<CallId, Caller> callers_;
-    std::set<CallId> reading_;
+    std::set<CallId> prefilling_;
 };
 
 constexpr EngineKind Kinds[] = {{20, 64}, {40, 64},  {120, 64}, {40, 8},
                                 {40, 16}, {40, 256}, {120, 256}};
-/// A prompt takes half of the objective there.
+/// Prefill of a prompt takes half of the objective.
 constexpr EngineKind VerySlow = {8, 64};
 
 void expectNearlyAllInTime(EngineKind kind)
 {
-    const auto outcome = EnginePlay(kind).play(0.6);
-    EXPECT_GE(outcome.inTime, 0.99 * outcome.asked) << kind.rate << ' ' << kind.slots;
+    const auto outcome = EngineSimulation(kind).simulate(0.6);
+    EXPECT_GE(outcome.inTime, 0.99 * outcome.submitted) << kind.rate << ' ' << kind.slots;
 }
 
 } // namespace
 
-// The engines of a new customer are several times as slow or as fast as those before, and have
-// other numbers of slots. Thresholds that fit only some engines leave room unused or make callers
-// late, though there is time for all.
+// The engines are several times slower or faster than the default, with other numbers of slots.
+// Guards against thresholds that fit only some engines: capacity would remain unused, or answers
+// would be late although there is time for all.
 TEST(UnlikeEnginesTest, NearlyAllAreInTimeBelowTheCapacity)
 {
     for (const auto kind : Kinds) {
@@ -218,23 +218,24 @@
     }
 }
 
-// The same with engines that read one prompt in half of the objective, so that nobody may wait for
-// more than one other.
+// The same with engines that take half of the objective to prefill one prompt, so that no request
+// may wait for more than one other.
 TEST(UnlikeEnginesTest, NearlyAllAreInTimeOnVerySlowEngines)
 {
     expectNearlyAllInTime(VerySlow);
 }
 
-// More comes than the engines can read. They are kept busy with what will be in time, and the rest
-// hears so while it can still go elsewhere.
+// More requests arrive than the engines can prefill. The engines are kept busy with requests that
+// will be in time, and the rest is rejected early enough to be sent elsewhere.
 TEST(UnlikeEnginesTest, EnginesAreKeptBusyWithWhatWillBeInTimeBeyondTheCapacity)
 {
     constexpr double Load = 1.5;
     std::vector<EngineKind> kinds(std::begin(Kinds), std::end(Kinds));
     kinds.push_back(VerySlow);
     for (const auto kind : kinds) {
-        const auto outcome = EnginePlay(kind).play(Load);
-        EXPECT_GE(outcome.inTime, 0.85 * outcome.asked / Load) << kind.rate << ' ' << kind.slots;
+        const auto outcome = EngineSimulation(kind).simulate(Load);
+        EXPECT_GE(outcome.inTime, 0.85 * outcome.submitted / Load)
+            << kind.rate << ' ' << kind.slots;
         EXPECT_GE(outcome.rejectedAtOnce, 0.85 * outcome.rejected)
             << kind.rate << ' ' << kind.slots;
     }
