--- a/Source/Core/Dispatch/EndpointHealth.cpp
+++ b/Source/Core/Dispatch/EndpointHealth.cpp
@@ -10,7 +10,7 @@
 
 /// Weight of one answer in an endpoint's averages.
 constexpr double AverageWeight = 0.1;
-/// Bounds of an endpoint's slowness: twice as fast as expected and six times slower. A larger
+/// Bounds of an endpoint's slowness: twice as fast and six times as slow as expected. A larger
 /// difference has other causes than the endpoint's speed.
 constexpr double SlownessMin = 0.5;
 constexpr double SlownessMax = 6;
--- a/Source/Core/Dispatch/Placement.cpp
+++ b/Source/Core/Dispatch/Placement.cpp
@@ -186,11 +186,11 @@
         return distribution(random_);
     }
     const auto perRequest = costOfRequest(*options_, endpoint.listed.record.slots).count();
-    const double unknown = endpoint.assumed / (1 + endpoint.assumed);
-    const double rarity = (1 + endpoint.load()) / (1 + endpoint.assumed);
+    const double assumedFraction = endpoint.assumed / (1 + endpoint.assumed);
+    const double loadRatio = (1 + endpoint.load()) / (1 + endpoint.assumed);
     std::exponential_distribution<double> distribution(1);
     return OwnWeight * perRequest * endpoint.own
-           + TieBreak * (1 + unknown * rarity) * distribution(random_);
+           + TieBreak * (1 + assumedFraction * loadRatio) * distribution(random_);
 }
 
 Candidate Placement::evaluate(EndpointState &endpoint, const Catalog::Service &service,
--- a/Source/UnitTests/Dispatch/GenerationTest.cpp
+++ b/Source/UnitTests/Dispatch/GenerationTest.cpp
@@ -25,7 +25,7 @@
     }
 
     /// Lets the engine generate an answer of ten events with the given pause between them.
-    void makeAnswer(const char *engine, milliseconds pauseBetween)
+    void generateAnswer(const char *engine, milliseconds pauseBetween)
     {
         constexpr int Events = 10;
         auto call = facts(Model, RequestKind::Stream);
@@ -148,8 +148,8 @@
 // come a few milliseconds earlier, but the last one after the deadline.
 TEST_F(GenerationTest, LongAnswersAreMadeWhereEventsComeFast)
 {
-    makeAnswer("a", milliseconds(25));
-    makeAnswer("b", milliseconds(140));
+    generateAnswer("a", milliseconds(25));
+    generateAnswer("b", milliseconds(140));
     // The fast engine has more requests.
     setOthersInFlight({{"a", 12}, {"b", 4}});
     auto call = facts(Model, RequestKind::Stream);
@@ -163,8 +163,8 @@
 // to be as fast as the fastest one.
 TEST_F(GenerationTest, OldPaceDoesNotCount)
 {
-    makeAnswer("a", milliseconds(25));
-    makeAnswer("b", milliseconds(140));
+    generateAnswer("a", milliseconds(25));
+    generateAnswer("b", milliseconds(140));
     setOthersInFlight({{"a", 12}, {"b", 4}});
     pass(seconds(2));
     auto call = facts(Model, RequestKind::Stream);
--- a/Source/UnitTests/Dispatch/LoadTest.cpp
+++ b/Source/UnitTests/Dispatch/LoadTest.cpp
@@ -38,7 +38,7 @@
         for (const auto &effect : effects) {
             if (const auto *send = std::get_if<Send>(&effect)) {
                 callers_[send->call].sentAt = now_;
-                endings_.push_back({endOf(send->endpoint), send->call});
+                endings_.push_back({completionTime(send->endpoint), send->call});
             } else if (const auto *reject = std::get_if<Reject>(&effect)) {
                 auto &caller = callers_[reject->call];
                 caller.rejected = true;
@@ -53,7 +53,7 @@
         return found == slow_.end() ? Duration(Hold) : found->second;
     }
     /// Time at which a request that is sent to the endpoint now will be complete.
-    Time endOf(const EndpointId &endpoint)
+    Time completionTime(const EndpointId &endpoint)
     {
         auto &slotsFreeAt = slotsFreeAt_[endpoint];
         for (const auto &listed : endpoints_) {
@@ -188,9 +188,9 @@
 TEST_F(LoadTest, OverloadedRegionForwardsToOneWithSpareCapacity)
 {
     setEndpoints({endpoint("a", Plain, 6)});
-    offerAway(Plain, 1000);
+    setSpareCapacityAway(Plain, 1000);
     pass(milliseconds(400));
-    offerAway(Plain, 1000);
+    setSpareCapacityAway(Plain, 1000);
     RegionLoadReport busy;
     busy.uses = {{shortId(EndpointId("a")), FullWithQueue}};
     busy.services = {{shortId(ServiceName(Plain)), 83, 5000, 0}};
@@ -204,9 +204,9 @@
 TEST_F(LoadTest, OtherRegionIsNotOverloadedBetweenTwoReports)
 {
     setEndpoints({endpoint("a", Plain, 1)});
-    offerAway(Plain, 20);
+    setSpareCapacityAway(Plain, 20);
     pass(milliseconds(500));
-    offerAway(Plain, 20);
+    setSpareCapacityAway(Plain, 20);
     int forwards = 0;
     for (int index = 0; index < 60; ++index) {
         forwards += only<Forward>(scheduler_.submit(facts(Plain), now_)) != nullptr ? 1 : 0;
@@ -264,7 +264,7 @@
         if (now_ >= reportAt) {
             reportAt += ReportInterval;
             const auto rate = 4 * static_cast<int>(sentWithin(ReportInterval));
-            offerAway(Plain, std::max(0, Possible - rate));
+            setSpareCapacityAway(Plain, std::max(0, Possible - rate));
             scheduler_.setFleet({InstanceId("one"), InstanceId("two")}, 3, {RegionName("away")});
             scheduler_.setRegionLoadReport(InstanceId("two"), busy, now_);
         }
@@ -362,7 +362,7 @@
 // just as the answer arrives.
 TEST_F(LoadTest, ForwardedRequestIsNotCancelledWhenSilent)
 {
-    offerAway(Plain, 100);
+    setSpareCapacityAway(Plain, 100);
     ASSERT_NE(only<Forward>(scheduler_.submit(facts(Plain), now_)), nullptr);
     pass(seconds(6));
     EXPECT_TRUE(scheduler_.tick(now_).empty());
--- a/Source/UnitTests/Dispatch/PlacementTest.cpp
+++ b/Source/UnitTests/Dispatch/PlacementTest.cpp
@@ -221,7 +221,7 @@
 TEST_F(SchedulerTest, HomesAreAHardBound)
 {
     setEndpoints({endpoint("a", Plain)});
-    offerAway(Plain, 100);
+    setSpareCapacityAway(Plain, 100);
     auto elsewhere = facts(Plain);
     elsewhere.allowedRegions = {RegionName("third")};
     EXPECT_NE(only<Reject>(scheduler_.submit(elsewhere, now_)), nullptr);
@@ -232,7 +232,7 @@
 
 TEST_F(SchedulerTest, ForwardedRequestIsNotForwardedAgain)
 {
-    offerAway(Plain, 100);
+    setSpareCapacityAway(Plain, 100);
     auto call = facts(Plain);
     call.forwarded = true;
     EXPECT_NE(only<Reject>(scheduler_.submit(call, now_)), nullptr);
@@ -242,7 +242,7 @@
 // region.
 TEST_F(SchedulerTest, RegionWithoutAnEndpointForwardsToAnother)
 {
-    offerAway(Plain, 100);
+    setSpareCapacityAway(Plain, 100);
     EXPECT_NE(only<Forward>(scheduler_.submit(facts(Plain), now_)), nullptr);
 }
 
--- a/Source/UnitTests/Dispatch/RetryTest.cpp
+++ b/Source/UnitTests/Dispatch/RetryTest.cpp
@@ -10,7 +10,7 @@
     setEndpoints({endpoint("a", Plain)});
     auto call = facts(Plain);
     call.allowedRegions = {RegionName("away")};
-    offerAway(Plain, 10);
+    setSpareCapacityAway(Plain, 10);
     const auto sent = scheduler_.submit(call, now_);
     ASSERT_NE(only<Forward>(sent), nullptr);
     call.allowedRegions.clear();
@@ -25,7 +25,7 @@
 {
     setEndpoints({endpoint("a", Plain)});
     const auto call = facts(Plain);
-    offerAway(Plain, 10);
+    setSpareCapacityAway(Plain, 10);
     ASSERT_NE(only<Send>(scheduler_.submit(call, now_)), nullptr);
     scheduler_.setEndpoints({}, {}, now_);
     const auto effects = scheduler_.ended(call.id, AttemptOutcome::Error, true, now_);
--- a/Source/UnitTests/Dispatch/Support.h
+++ b/Source/UnitTests/Dispatch/Support.h
@@ -87,7 +87,7 @@
 
     /// Lets the instance "far" of the region "away" report spare capacity of perSecond requests per
     /// second.
-    void offerAway(const char *service, int perSecond)
+    void setSpareCapacityAway(const char *service, int perSecond)
     {
         scheduler_.setFleet({InstanceId("one")}, 2, {RegionName("away")});
         CrossRegionLoadReport loadReport;
