--- a/Source/UnitTests/Dispatch/PlacementTest.cpp
+++ b/Source/UnitTests/Dispatch/PlacementTest.cpp
@@ -2,9 +2,9 @@
 
 namespace LaburnumChute::Dispatch {
 
-// A prompt's large shared part lies in one engine's memory. Reading it again elsewhere takes a
-// third of a second of an engine, for which others wait.
-TEST_F(SchedulerTest, RequestGoesWhereItsPromptIsHeld)
+// Guards against prefilling a large shared part again on another engine, which would take a third
+// of a second during which other requests wait.
+TEST_F(SchedulerTest, RequestGoesWhereItsPromptIsCached)
 {
     setEndpoints({endpoint("a", Model), endpoint("b", Model), endpoint("c", Model)});
     const auto first = longCall(1);
@@ -12,7 +12,7 @@
     ASSERT_NE(only<Send>(placed), nullptr);
     const auto holder = only<Send>(placed)->endpoint;
     scheduler_.answering(first.id, now_);
-    scheduler_.ended(first.id, TryOutcome::Completed, false, now_);
+    scheduler_.ended(first.id, AttemptOutcome::Completed, false, now_);
     for (int index = 0; index < 5; ++index) {
         pass(milliseconds(2000));
         const auto next = longCall(1);
@@ -20,12 +20,12 @@
         EXPECT_EQ(only<Send>(effects)->endpoint, holder);
         EXPECT_FALSE(only<Send>(effects)->copyCacheFrom);
         scheduler_.answering(next.id, now_);
-        scheduler_.ended(next.id, TryOutcome::Completed, false, now_);
+        scheduler_.ended(next.id, AttemptOutcome::Completed, false, now_);
     }
 }
 
-// Many requests share one part. All at its holder they would wait for each other while the other
-// engines idle; the part is copied, which takes milliseconds.
+// Many requests share one part. If all went to the engine that has it cached, they would wait for
+// each other while other engines are idle; copying the part takes milliseconds.
 TEST_F(SchedulerTest, HotPartIsCopiedRatherThanWaitedFor)
 {
     setEndpoints({endpoint("a", Model), endpoint("b", Model), endpoint("c", Model)});
@@ -41,14 +41,14 @@
     EXPECT_GE(copies, 1);
 }
 
-// The part is held in another region only. Copying it costs a tenth of what reading it costs.
+// The part is cached in another region only. Copying it takes a tenth of the time of its prefill.
 TEST_F(SchedulerTest, PromptIsCopiedFromAnotherRegion)
 {
     setEndpoints({endpoint("a", Model)});
     scheduler_.setRemoteEndpoints({endpoint("far", Model)});
-    WorldShare share;
-    share.placements = {{shortId(EndpointId("far")), 1, SharedTokens}};
-    scheduler_.setWorldShare(RegionName("away"), InstanceId("two"), share, now_);
+    CrossRegionLoadReport loadReport;
+    loadReport.placements = {{shortId(EndpointId("far")), 1, SharedTokens}};
+    scheduler_.setCrossRegionLoadReport(RegionName("away"), InstanceId("two"), loadReport, now_);
     const auto effects = scheduler_.submit(longCall(1), now_);
     ASSERT_NE(only<Send>(effects), nullptr);
     EXPECT_EQ(only<Send>(effects)->copyCacheFrom, "far:80");
@@ -57,16 +57,16 @@
 TEST_F(SchedulerTest, WhatAnotherInstancePlacedIsKnownHere)
 {
     setEndpoints({endpoint("a", Model), endpoint("b", Model), endpoint("c", Model)});
-    RegionShare share;
-    share.placements = {{shortId(EndpointId("b")), 1, SharedTokens}};
-    scheduler_.setRegionShare(InstanceId("two"), share, now_);
+    RegionLoadReport loadReport;
+    loadReport.placements = {{shortId(EndpointId("b")), 1, SharedTokens}};
+    scheduler_.setRegionLoadReport(InstanceId("two"), loadReport, now_);
     const auto effects = scheduler_.submit(longCall(1), now_);
     EXPECT_EQ(only<Send>(effects)->endpoint, EndpointId("b"));
 }
 
-// Another instance sends an engine a long prompt, which is read for half a second. Until its next
-// report this instance would send there, too; its caller would wait behind that prompt while
-// another engine idles.
+// Another instance sends an engine a long prompt with half a second of prefill. Guards against
+// sending there before the next load report: the caller would wait behind that prompt while another
+// engine is idle.
 TEST_F(SchedulerTest, PromptsThatOthersJustSentAreKnownAtOnce)
 {
     setEndpoints({endpoint("a", Model), endpoint("b", Model)});
@@ -87,29 +87,29 @@
         call.promptTokens = 300;
         EXPECT_NE(only<Send>(scheduler_.submit(call, now_))->endpoint, busy);
     }
-    // The part is known, too: another request for it goes where it is.
+    // The cached part is known, too: another request with it is sent to the same engine.
     pass(seconds(2));
     EXPECT_EQ(only<Send>(scheduler_.submit(longCall(1), now_))->endpoint, busy);
 }
 
-// Seven streams run on an engine that reads prompts all the time, and none on another. One more
-// long prompt would stop all seven for as long as it is read: their callers would see them pause,
-// and some would not end in time.
+// One engine runs seven streams and prefills prompts all the time, another one runs none. Guards
+// against sending one more long prompt to the first: all seven streams would pause during its
+// prefill, and some would miss their deadline.
 TEST_F(SchedulerTest, LongPromptsKeepAwayFromEnginesWithManyStreams)
 {
     setEndpoints({endpoint("a", Model, 32), endpoint("b", Model, 32)});
-    // The engine has read for the last two seconds.
+    // The engine has been prefilling for the last two seconds.
     for (int index = 0; index < 4; ++index) {
         scheduler_.learn({InstanceId("two"), {{shortId(EndpointId("a")), 20000, {}}}}, now_);
         pass(milliseconds(600));
     }
-    RegionShare busy;
+    RegionLoadReport busy;
     busy.uses = {{shortId(EndpointId("a")), 7}};
-    scheduler_.setRegionShare(InstanceId("two"), busy, now_);
-    // The other engine has something to read first.
+    scheduler_.setRegionLoadReport(InstanceId("two"), busy, now_);
+    // The other engine has to prefill another prompt first.
     scheduler_.learn({InstanceId("two"), {{shortId(EndpointId("b")), 8000, {}}}}, now_);
     auto effects = scheduler_.submit(longCall(1), now_);
-    // It may wait here until that has been read.
+    // The request may be queued until then.
     for (int step = 0; effects.empty() && step < 20; ++step) {
         pass(milliseconds(20));
         effects = scheduler_.tick(now_);
@@ -118,8 +118,8 @@
     EXPECT_EQ(only<Send>(effects)->endpoint, EndpointId("b"));
 }
 
-// Two instances get the first requests for a part in the same moment. Neither has told the other;
-// each would have another engine read it.
+// Two instances get the first requests for a part at the same time, before either has notified the
+// other. Guards against each having a different engine prefill it.
 TEST_F(SchedulerTest, InstancesAgreeOnTheEngineOfANewPart)
 {
     Scheduler other(DispatchOptions(), InstanceId("two"), RegionName("home"), 99, Time());
@@ -136,9 +136,9 @@
         const auto placedThere = other.submit(there, now_);
         EXPECT_EQ(only<Send>(placedHere)->endpoint, only<Send>(placedThere)->endpoint);
         scheduler_.answering(here.id, now_);
-        scheduler_.ended(here.id, TryOutcome::Completed, false, now_);
+        scheduler_.ended(here.id, AttemptOutcome::Completed, false, now_);
         other.answering(there.id, now_);
-        other.ended(there.id, TryOutcome::Completed, false, now_);
+        other.ended(there.id, AttemptOutcome::Completed, false, now_);
         pass(milliseconds(1000));
     }
 }
@@ -157,8 +157,8 @@
     }
 }
 
-// A failure domain is taken back into use. Its engines have had nothing for a while and may have
-// become cold; all that waits would go there at once.
+// The engines of a failure domain that returns to service may have become cold without requests.
+// Guards against sending all queued requests there at once.
 TEST_F(SchedulerTest, EndpointsThatComeBackFromAnEvacuationBeginWithFewRequests)
 {
     scheduler_.setEndpoints({endpoint("a", Model)}, {Common::FailureDomainName("zone")}, now_);
@@ -170,7 +170,7 @@
     EXPECT_LT(sent, 8);
 }
 
-// An address is used again by another endpoint, while the record of the former one is still there.
+// An address is reused by another endpoint while the record of the previous one still exists.
 TEST_F(SchedulerTest, OfTwoEndpointsAtOneAddressTheLaterOneCounts)
 {
     auto former = endpoint("a", Plain);
@@ -184,9 +184,8 @@
     }
 }
 
-// An endpoint whose port is closed looks idle and would draw every request, each of which fails
-// first.
-TEST_F(SchedulerTest, EndpointThatRefusesConnectionsRests)
+// Guards against an endpoint with a closed port attracting every request because it looks idle.
+TEST_F(SchedulerTest, EndpointThatRefusesConnectionsIsEjected)
 {
     setEndpoints({endpoint("a", Plain), endpoint("b", Plain)});
     int failures = 0;
@@ -195,58 +194,60 @@
         auto effects = scheduler_.submit(call, now_);
         while (only<Send>(effects) != nullptr && only<Send>(effects)->endpoint == EndpointId("a")) {
             ++failures;
-            effects = scheduler_.ended(call.id, TryOutcome::NotConnected, true, now_);
+            effects = scheduler_.ended(call.id, AttemptOutcome::NotConnected, true, now_);
         }
-        scheduler_.ended(call.id, TryOutcome::Completed, false, now_);
+        scheduler_.ended(call.id, AttemptOutcome::Completed, false, now_);
         pass(milliseconds(20));
     }
     EXPECT_LE(failures, 4);
 }
 
-// It is back; after its rest one request goes first and then all may.
+// After its ejection time an endpoint gets a single probe request first; when that succeeds, it
+// gets all others.
 TEST_F(SchedulerTest, EndpointThatAnswersAgainIsInService)
 {
     setEndpoints({endpoint("a", Plain)});
     const auto first = facts(Plain);
     scheduler_.submit(first, now_);
-    scheduler_.ended(first.id, TryOutcome::NotConnected, true, now_);
+    scheduler_.ended(first.id, AttemptOutcome::NotConnected, true, now_);
     pass(milliseconds(300));
-    const auto trial = facts(Plain);
-    ASSERT_NE(only<Send>(scheduler_.submit(trial, now_)), nullptr);
+    const auto probe = facts(Plain);
+    ASSERT_NE(only<Send>(scheduler_.submit(probe, now_)), nullptr);
     EXPECT_EQ(only<Send>(scheduler_.submit(facts(Plain), now_)), nullptr);
-    const auto effects = scheduler_.ended(trial.id, TryOutcome::Completed, false, now_);
+    const auto effects = scheduler_.ended(probe.id, AttemptOutcome::Completed, false, now_);
     EXPECT_NE(only<Send>(effects), nullptr);
 }
 
 TEST_F(SchedulerTest, HomesAreAHardBound)
 {
     setEndpoints({endpoint("a", Plain)});
-    offerAway(Plain, 100);
+    setSpareCapacityAway(Plain, 100);
     auto elsewhere = facts(Plain);
-    elsewhere.homes = {RegionName("third")};
+    elsewhere.allowedRegions = {RegionName("third")};
     EXPECT_NE(only<Reject>(scheduler_.submit(elsewhere, now_)), nullptr);
     auto away = facts(Plain);
-    away.homes = {RegionName("away")};
+    away.allowedRegions = {RegionName("away")};
     EXPECT_NE(only<Forward>(scheduler_.submit(away, now_)), nullptr);
 }
 
 TEST_F(SchedulerTest, ForwardedRequestIsNotForwardedAgain)
 {
-    offerAway(Plain, 100);
+    setSpareCapacityAway(Plain, 100);
     auto call = facts(Plain);
     call.forwarded = true;
     EXPECT_NE(only<Reject>(scheduler_.submit(call, now_)), nullptr);
 }
 
-// A region's only endpoint of a service is being replaced: its callers are served elsewhere.
-TEST_F(SchedulerTest, RegionWithoutAnEndpointIsHelpedByAnother)
+// The only endpoint of a service in a region is being replaced: requests are forwarded to another
+// region.
+TEST_F(SchedulerTest, RegionWithoutAnEndpointForwardsToAnother)
 {
-    offerAway(Plain, 100);
+    setSpareCapacityAway(Plain, 100);
     EXPECT_NE(only<Forward>(scheduler_.submit(facts(Plain), now_)), nullptr);
 }
 
-// One request crashes whatever runs it, and its caller sends it again. Without a bound it takes
-// down one endpoint after the other.
+// A request crashes every endpoint that runs it, and its caller retries it. Guards against it
+// crashing one endpoint after the other.
 TEST_F(SchedulerTest, RequestThatCrashesItsEndpointsIsRejected)
 {
     setEndpoints(
@@ -255,30 +256,30 @@
     for (int attempt = 0; attempt < 8; ++attempt) {
         auto poison = facts(Plain);
         poison.fingerprint = 4711;
-        poison.attempts = 1;
+        poison.maxRuns = 1;
         const auto effects = scheduler_.submit(poison, now_);
         const auto *send = only<Send>(effects);
         if (send == nullptr) {
             EXPECT_EQ(only<Reject>(effects)->reason, RejectReason::Quarantined);
-            // It would be turned away again until the quarantine is over.
+            // It would be rejected again until the quarantine ends.
             EXPECT_GE(only<Reject>(effects)->retryAfter, seconds(300));
             continue;
         }
         ++crashes;
         const auto crashed = send->endpoint;
-        scheduler_.ended(poison.id, TryOutcome::Broken, false, now_);
+        scheduler_.ended(poison.id, AttemptOutcome::Broken, false, now_);
         // Other requests find the port closed.
         for (int probe = 0; probe < 12; ++probe) {
             auto innocent = facts(Plain);
-            auto tried = scheduler_.submit(innocent, now_);
-            while (only<Send>(tried) != nullptr) {
-                const bool dead = only<Send>(tried)->endpoint == crashed;
-                tried = scheduler_.ended(innocent.id,
-                                         dead ? TryOutcome::NotConnected : TryOutcome::Completed,
-                                         true, now_);
+            auto effects = scheduler_.submit(innocent, now_);
+            while (only<Send>(effects) != nullptr) {
+                const bool dead = only<Send>(effects)->endpoint == crashed;
+                effects = scheduler_.ended(
+                    innocent.id, dead ? AttemptOutcome::NotConnected : AttemptOutcome::Completed,
+                    true, now_);
             }
         }
-        // The crashed endpoint comes back as a new life under its id.
+        // The crashed endpoint restarts under its old id.
         pass(seconds(4));
         for (auto &each : endpoints_) {
             each.record.startedAt += each.record.id == crashed ? 1 : 0;
