--- a/Source/Core/Relay/ForwardNote.cpp
+++ b/Source/Core/Relay/ForwardMetadata.cpp
@@ -1,4 +1,4 @@
-#include "Relay/ForwardNote.h"
+#include "Relay/ForwardMetadata.h"
 
 #include <charconv>
 
@@ -6,7 +6,7 @@
 
 namespace LaburnumChute::Relay {
 
-std::string encodeNote(const ForwardNote &note)
+std::string encodeNote(const ForwardMetadata &note)
 {
     std::string text;
     for (const auto byte : Peers::encodeValue(note)) {
@@ -15,7 +15,7 @@
     return text;
 }
 
-Common::Result<ForwardNote> decodeNote(const std::string &text)
+Common::Result<ForwardMetadata> decodeNote(const std::string &text)
 {
     constexpr std::size_t DigitsOfByte = 2;
     constexpr int Hexadecimal = 16;
@@ -30,7 +30,7 @@
         }
         bytes += static_cast<char>(byte);
     }
-    return Peers::decodeValue<ForwardNote>(bytes);
+    return Peers::decodeValue<ForwardMetadata>(bytes);
 }
 
 } // namespace LaburnumChute::Relay
--- a/Source/Core/Relay/ForwardNote.h
+++ b/Source/Core/Relay/ForwardMetadata.h
@@ -12,7 +12,7 @@
 /// What an instance tells another one of a request that it forwards. The receiver looks up no
 /// route: it may know another version of the configuration, and the request keeps the one it came
 /// in under.
-struct ForwardNote
+struct ForwardMetadata
 {
     std::string service;
     std::uint8_t kind = 0;
@@ -45,7 +45,7 @@
 inline constexpr const char *RunStateNotRun = "not-run";
 inline constexpr const char *RunStateUnknown = "unknown";
 
-std::string encodeNote(const ForwardNote &note);
-Common::Result<ForwardNote> decodeNote(const std::string &text);
+std::string encodeNote(const ForwardMetadata &note);
+Common::Result<ForwardMetadata> decodeNote(const std::string &text);
 
 } // namespace LaburnumChute::Relay
--- a/Source/Core/Relay/RelayedCall.cpp
+++ b/Source/Core/Relay/RelayedCall.cpp
@@ -203,7 +203,7 @@
     gateway_.metrics().forwards.add();
     endpoint_ = Common::EndpointId();
     peer_ = peer->id;
-    ForwardNote note;
+    ForwardMetadata note;
     const auto &facts = plan_.facts;
     const auto inMilliseconds = [](Common::Duration duration) {
         return std::chrono::duration_cast<milliseconds>(duration).count();
--- a/Source/Core/Relay/RelayedCall.h
+++ b/Source/Core/Relay/RelayedCall.h
@@ -8,7 +8,7 @@
 #include "Dialect/Dialect.h"
 #include "Dispatch/Dispatch.h"
 #include "Relay/EventCutter.h"
-#include "Relay/ForwardNote.h"
+#include "Relay/ForwardMetadata.h"
 #include "Relay/InboundConnection.h"
 #include "Relay/OutboundCall.h"
 
--- a/Source/UnitTests/Relay/InboundConnectionTest.cpp
+++ b/Source/UnitTests/Relay/InboundConnectionTest.cpp
@@ -95,7 +95,7 @@
 
 // A request states its length in two ways, or in a coding that an endpoint may read differently.
 // The part that only one of the two sees would be a request of its own there.
-TEST_F(InboundConnectionTest, RequestThatCouldHideAnotherIsRefused)
+TEST_F(InboundConnectionTest, RequestSmugglingIsRejected)
 {
     const std::vector<std::string> heads = {
         "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
@@ -141,7 +141,7 @@
 
 // The caller leaves while its request is being served. Until that is known its endpoint works for
 // nobody.
-TEST_F(InboundConnectionTest, LeavingCallerIsNoticedAtOnce)
+TEST_F(InboundConnectionTest, DisconnectDuringRequestIsNoticedImmediately)
 {
     bool gone = false;
     std::shared_ptr<InboundConnection> held;
@@ -176,7 +176,7 @@
 }
 
 // An endpoint fails in the midst of a stream. The caller must see that it is not whole.
-TEST_F(InboundConnectionTest, AbortedAnswerHasNoEnd)
+TEST_F(InboundConnectionTest, AbortedResponseIsIncomplete)
 {
     std::shared_ptr<InboundConnection> held;
     handler_ = [&](const std::shared_ptr<InboundConnection> &connection) { held = connection; };
@@ -192,7 +192,7 @@
 
 // The instance is asked to stop. Its callers learn with their next answer that they should go, and
 // no answer is lost in a reset.
-TEST_F(InboundConnectionTest, ClosingConnectionStillAnswers)
+TEST_F(InboundConnectionTest, ClosingConnectionStillSendsTheResponse)
 {
     say("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
     heard();
--- a/Source/UnitTests/Relay/OutboundCallTest.cpp
+++ b/Source/UnitTests/Relay/OutboundCallTest.cpp
@@ -102,7 +102,7 @@
 }
 
 // The request must not be sent if maySend returns false once the connection is established.
-TEST_F(OutboundCallTest, NothingIsSentToAnEndpointThatLeftWhileConnecting)
+TEST_F(OutboundCallTest, NothingIsSentIfMaySendReturnsFalse)
 {
     std::atomic<std::size_t> received = 0;
     ScriptedServer server(
--- a/Source/UnitTests/Relay/PeerMessagesTest.cpp
+++ b/Source/UnitTests/Relay/PeerMessagesTest.cpp
@@ -1,14 +1,14 @@
 #include <gtest/gtest.h>
 
-#include "Relay/ForwardNote.h"
+#include "Relay/ForwardMetadata.h"
 #include "Relay/GossipMessage.h"
 #include "Relay/PeerSync.h"
 
 namespace LaburnumChute::Relay {
 
-TEST(ForwardNoteTest, NoteTravelsAsText)
+TEST(ForwardMetadataTest, NoteTravelsAsText)
 {
-    ForwardNote note;
+    ForwardMetadata note;
     note.service = "desk";
     note.attempts = 2;
     note.objectiveLeftMs = -40;
@@ -24,12 +24,12 @@
 
 // A text that is no note, or a damaged one whose lengths lie. It must not cost memory or the
 // process.
-TEST(ForwardNoteTest, OtherTextsAreErrors)
+TEST(ForwardMetadataTest, OtherTextsAreErrors)
 {
     EXPECT_FALSE(decodeNote(""));
     EXPECT_FALSE(decodeNote("zz"));
     EXPECT_FALSE(decodeNote("01ffffffffffffffff"));
-    const auto whole = encodeNote(ForwardNote());
+    const auto whole = encodeNote(ForwardMetadata());
     EXPECT_FALSE(decodeNote(whole.substr(0, whole.size() / 2)));
 }
 
