--- a/Source/Core/Relay/DirectoryAnswer.cpp
+++ b/Source/Core/Relay/DirectoryAnswer.cpp
@@ -22,29 +22,30 @@
                                          const Common::RegionName &callerRegion, const Homes &homes,
                                          std::size_t limit)
 {
-    std::ptrdiff_t most = 0;
+    std::ptrdiff_t maxAllowing = 0;
     for (const auto &candidate : candidates) {
-        most = std::max(most, routesAllowing(candidate.region, homes));
+        maxAllowing = std::max(maxAllowing, routesAllowing(candidate.region, homes));
     }
-    const auto isOwn = [&](const DirectoryCandidate &candidate) {
+    const auto inCallerRegion = [&](const DirectoryCandidate &candidate) {
         return candidate.region == callerRegion;
     };
-    const auto isHome = [&](const DirectoryCandidate &candidate) {
-        return homes.empty() || (most > 0 && routesAllowing(candidate.region, homes) == most);
+    const auto inHomeRegion = [&](const DirectoryCandidate &candidate) {
+        return homes.empty()
+               || (maxAllowing > 0 && routesAllowing(candidate.region, homes) == maxAllowing);
     };
-    using Rule = std::function<bool(const DirectoryCandidate &)>;
-    const std::vector<Rule> rules = {
-        [&](const auto &candidate) { return isOwn(candidate) && !candidate.leaving; },
-        [&](const auto &candidate) { return isHome(candidate) && !candidate.leaving; },
-        [&](const auto &candidate) { return isOwn(candidate); },
-        [&](const auto &candidate) { return isHome(candidate); },
+    using Predicate = std::function<bool(const DirectoryCandidate &)>;
+    const std::vector<Predicate> predicates = {
+        [&](const auto &candidate) { return inCallerRegion(candidate) && !candidate.leaving; },
+        [&](const auto &candidate) { return inHomeRegion(candidate) && !candidate.leaving; },
+        [&](const auto &candidate) { return inCallerRegion(candidate); },
+        [&](const auto &candidate) { return inHomeRegion(candidate); },
         [](const auto &candidate) { return !candidate.leaving; },
         [](const auto &) { return true; },
     };
     std::vector<std::string> chosen;
-    for (const auto &rule : rules) {
+    for (const auto &predicate : predicates) {
         for (const auto &candidate : candidates) {
-            if (rule(candidate) && chosen.size() < limit) {
+            if (predicate(candidate) && chosen.size() < limit) {
                 chosen.push_back(candidate.address);
             }
         }
--- a/Source/Core/Relay/EventCutter.cpp
+++ b/Source/Core/Relay/EventCutter.cpp
@@ -16,32 +16,32 @@
 };
 
 /// The first blank line: two line ends in a row.
-EventEnd findEnd(std::string_view text, std::size_t from)
+EventEnd findEventEnd(std::string_view text, std::size_t from)
 {
-    for (auto feed = text.find('\n', from); feed != std::string_view::npos;
-         feed = text.find('\n', feed + 1)) {
-        const auto rest = text.substr(feed + 1);
+    for (auto lineFeed = text.find('\n', from); lineFeed != std::string_view::npos;
+         lineFeed = text.find('\n', lineFeed + 1)) {
+        const auto rest = text.substr(lineFeed + 1);
         if (rest.substr(0, 1) == "\n") {
-            return {feed, 2};
+            return {lineFeed, 2};
         }
         if (rest.substr(0, 2) == "\r\n") {
-            return {feed, 3};
+            return {lineFeed, 3};
         }
     }
     return {};
 }
 
-std::optional<std::string> idOf(std::string_view event)
+std::optional<std::string> findEventId(std::string_view event)
 {
-    constexpr std::string_view Field = "id:";
+    constexpr std::string_view IdField = "id:";
     while (!event.empty()) {
         const auto end = std::min(event.find('\n'), event.size());
         auto line = event.substr(0, end);
         event.remove_prefix(std::min(event.size(), end + 1));
-        if (line.substr(0, Field.size()) != Field) {
+        if (line.substr(0, IdField.size()) != IdField) {
             continue;
         }
-        line.remove_prefix(Field.size());
+        line.remove_prefix(IdField.size());
         while (!line.empty() && line.front() == ' ') {
             line.remove_prefix(1);
         }
@@ -53,7 +53,7 @@
     return std::nullopt;
 }
 
-std::optional<std::uint64_t> numberOf(const std::string &text)
+std::optional<std::uint64_t> parseNumber(const std::string &text)
 {
     std::uint64_t value = 0;
     const auto *end = text.data() + text.size();
@@ -62,10 +62,10 @@
 }
 
 /// True when the first id is not after the second one.
-bool notAfter(const std::string &id, const std::string &last)
+bool isAtOrBefore(const std::string &id, const std::string &last)
 {
-    const auto number = numberOf(id);
-    const auto lastNumber = numberOf(last);
+    const auto number = parseNumber(id);
+    const auto lastNumber = parseNumber(last);
     return number && lastNumber ? *number <= *lastNumber : id == last;
 }
 
@@ -76,46 +76,46 @@
     pending_ += bytes;
     std::string out;
     std::size_t start = 0;
-    std::size_t from = scanned_;
-    for (auto end = findEnd(pending_, from); end.position != std::string::npos;
-         end = findEnd(pending_, from)) {
+    std::size_t from = scanOffset_;
+    for (auto end = findEventEnd(pending_, from); end.position != std::string::npos;
+         end = findEventEnd(pending_, from)) {
         const auto next = end.position + end.length;
-        take(std::string_view(pending_).substr(start, next - start), out);
+        emitEvent(std::string_view(pending_).substr(start, next - start), out);
         start = next;
         from = next;
     }
     pending_.erase(0, start);
     // An end may begin with the last bytes that were seen.
-    constexpr std::size_t LongestEnd = 3;
-    scanned_ = pending_.size() - std::min(pending_.size(), LongestEnd);
+    constexpr std::size_t MaxEndLength = 3;
+    scanOffset_ = pending_.size() - std::min(pending_.size(), MaxEndLength);
     return out;
 }
 
-void EventCutter::take(std::string_view event, std::string &out)
+void EventCutter::emitEvent(std::string_view event, std::string &out)
 {
-    auto id = idOf(event);
-    if (repeating_ && id && lastId_ && notAfter(*id, *lastId_)) {
+    auto id = findEventId(event);
+    if (skippingDuplicates_ && id && lastId_ && isAtOrBefore(*id, *lastId_)) {
         return;
     }
     if (id) {
         lastId_ = std::move(id);
     }
-    repeating_ = false;
-    ++events_;
+    skippingDuplicates_ = false;
+    ++eventCount_;
     out += event;
 }
 
-std::string EventCutter::takeRest()
+std::string EventCutter::takeRemainder()
 {
-    scanned_ = 0;
+    scanOffset_ = 0;
     return std::exchange(pending_, {});
 }
 
 void EventCutter::restart()
 {
     pending_.clear();
-    scanned_ = 0;
-    repeating_ = true;
+    scanOffset_ = 0;
+    skippingDuplicates_ = true;
 }
 
 } // namespace LaburnumChute::Relay
--- a/Source/Core/Relay/EventCutter.h
+++ b/Source/Core/Relay/EventCutter.h
@@ -17,10 +17,10 @@
     /// Whole events that were passed on.
     int events() const
     {
-        return events_;
+        return eventCount_;
     }
     /// What is left of an event that has not ended.
-    std::string takeRest();
+    std::string takeRemainder();
     /// Another connection goes on with the stream: the half event comes again, and whole events up
     /// to the last id that was passed on are left out should they come again, too.
     void restart();
@@ -32,13 +32,13 @@
     }
 
 private:
-    void take(std::string_view event, std::string &out);
+    void emitEvent(std::string_view event, std::string &out);
 
     std::string pending_;
-    std::size_t scanned_ = 0;
+    std::size_t scanOffset_ = 0;
     std::optional<std::string> lastId_;
-    bool repeating_ = false;
-    int events_ = 0;
+    bool skippingDuplicates_ = false;
+    int eventCount_ = 0;
 };
 
 } // namespace LaburnumChute::Relay
--- a/Source/Core/Relay/EventLog.cpp
+++ b/Source/Core/Relay/EventLog.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr Common::milliseconds TellInterval{1000};
+constexpr Common::milliseconds DropReportInterval{1000};
 /// A buffer this full is written at once, a tick's worth of lines otherwise.
 constexpr std::size_t FlushBytes = 16 * 1024;
 
-std::string timeText()
+std::string formatTime()
 {
     const auto now = Common::toUnixMilliseconds(std::chrono::system_clock::now());
     return fmt::format("{}.{:03}", now / 1000, now % 1000);
@@ -21,15 +21,15 @@
 void appendEscaped(std::string &text, std::string_view value)
 {
     constexpr unsigned char FirstPrintable = 0x20;
-    for (const auto letter : value) {
-        const auto code = static_cast<unsigned char>(letter);
-        if (letter == '"' || letter == '\\') {
+    for (const auto character : value) {
+        const auto code = static_cast<unsigned char>(character);
+        if (character == '"' || character == '\\') {
             text += '\\';
-            text += letter;
+            text += character;
         } else if (code < FirstPrintable) {
             text += fmt::format("\\u{:04x}", code);
         } else {
-            text += letter;
+            text += character;
         }
     }
 }
@@ -41,7 +41,7 @@
 {
 }
 
-void EventLine::key(std::string_view name)
+void EventLine::appendKey(std::string_view name)
 {
     text_ += ",\"";
     text_ += name;
@@ -50,7 +50,7 @@
 
 EventLine &EventLine::add(std::string_view name, std::string_view value)
 {
-    key(name);
+    appendKey(name);
     text_ += '"';
     appendEscaped(text_, value);
     text_ += '"';
@@ -64,14 +64,14 @@
 
 EventLine &EventLine::add(std::string_view name, std::int64_t value)
 {
-    key(name);
+    appendKey(name);
     text_ += std::to_string(value);
     return *this;
 }
 
 EventLine &EventLine::add(std::string_view name, bool value)
 {
-    key(name);
+    appendKey(name);
     text_ += value ? "true" : "false";
     return *this;
 }
@@ -86,7 +86,7 @@
     if (value) {
         return add(name, *value);
     }
-    key(std::string(name) + "_ms");
+    appendKey(std::string(name) + "_ms");
     text_ += "null";
     return *this;
 }
@@ -105,7 +105,7 @@
 void EventLog::append(const std::string &text)
 {
     if (buffer_.size() + text.size() > options_.bufferBytes) {
-        ++overflowed_;
+        ++overflowedLines_;
         return;
     }
     buffer_ += text;
@@ -113,50 +113,50 @@
 
 void EventLog::write(const EventLine &line, Common::Time now)
 {
-    auto [place, isNew] = buckets_.try_emplace(line.event());
-    auto &bucket = place->second;
-    const double elapsed = Common::toSeconds(now - bucket.filledAt);
+    auto [entry, isNew] = buckets_.try_emplace(line.event());
+    auto &bucket = entry->second;
+    const double elapsed = Common::toSeconds(now - bucket.refilledAt);
     bucket.tokens =
         isNew ? options_.burst
               : std::min(options_.burst, bucket.tokens + elapsed * options_.linesPerSecond);
-    bucket.filledAt = now;
+    bucket.refilledAt = now;
     if (bucket.tokens < 1) {
         ++bucket.dropped;
         return;
     }
     bucket.tokens -= 1;
-    append(fmt::format("{{\"time\":{},\"instance\":\"{}\",\"event\":\"{}\"{}}}\n", timeText(),
+    append(fmt::format("{{\"time\":{},\"instance\":\"{}\",\"event\":\"{}\"{}}}\n", formatTime(),
                        instance_, line.event(), line.text()));
     if (buffer_.size() > FlushBytes) {
         flush(now);
     }
 }
 
-void EventLog::tellDropped(Common::Time now)
+void EventLog::reportDroppedLines(Common::Time now)
 {
-    if (now - toldAt_ < TellInterval) {
+    if (now - dropsReportedAt_ < DropReportInterval) {
         return;
     }
-    toldAt_ = now;
+    dropsReportedAt_ = now;
     for (auto &[event, bucket] : buckets_) {
         if (bucket.dropped > 0) {
             append(fmt::format("{{\"time\":{},\"instance\":\"{}\",\"event\":\"lines-left-out\","
                                "\"of\":\"{}\",\"count\":{}}}\n",
-                               timeText(), instance_, event, bucket.dropped));
+                               formatTime(), instance_, event, bucket.dropped));
             bucket.dropped = 0;
         }
     }
-    if (overflowed_ > 0) {
-        const auto count = std::exchange(overflowed_, 0);
+    if (overflowedLines_ > 0) {
+        const auto count = std::exchange(overflowedLines_, 0);
         append(fmt::format("{{\"time\":{},\"instance\":\"{}\",\"event\":\"lines-left-out\","
                            "\"of\":\"all\",\"count\":{}}}\n",
-                           timeText(), instance_, count));
+                           formatTime(), instance_, count));
     }
 }
 
 void EventLog::flush(Common::Time now)
 {
-    tellDropped(now);
+    reportDroppedLines(now);
     while (!buffer_.empty()) {
         const auto written = ::write(descriptor_, buffer_.data(), buffer_.size());
         if (written <= 0) {
--- a/Source/Core/Relay/EventLog.h
+++ b/Source/Core/Relay/EventLog.h
@@ -45,7 +45,7 @@
 
 private:
     EventLine &addMilliseconds(std::string_view name, Common::milliseconds value);
-    void key(std::string_view name);
+    void appendKey(std::string_view name);
 
     std::string event_;
     std::string text_;
@@ -78,20 +78,20 @@
     struct Bucket
     {
         double tokens = 0;
-        Common::Time filledAt{};
+        Common::Time refilledAt{};
         std::uint64_t dropped = 0;
     };
 
     void append(const std::string &text);
-    void tellDropped(Common::Time now);
+    void reportDroppedLines(Common::Time now);
 
     int descriptor_;
     Options options_;
     std::string instance_;
     std::map<std::string, Bucket> buckets_;
     std::string buffer_;
-    std::uint64_t overflowed_ = 0;
-    Common::Time toldAt_{};
+    std::uint64_t overflowedLines_ = 0;
+    Common::Time dropsReportedAt_{};
 };
 
 } // namespace LaburnumChute::Relay
--- a/Source/Core/Relay/ForwardMetadata.h
+++ b/Source/Core/Relay/ForwardMetadata.h
@@ -45,7 +45,7 @@
 inline constexpr const char *RunStateNotRun = "not-run";
 inline constexpr const char *RunStateUnknown = "unknown";
 
-std::string encodeNote(const ForwardMetadata &note);
-Common::Result<ForwardMetadata> decodeNote(const std::string &text);
+std::string encodeForwardMetadata(const ForwardMetadata &metadata);
+Common::Result<ForwardMetadata> decodeForwardMetadata(const std::string &text);
 
 } // namespace LaburnumChute::Relay
--- a/Source/Core/Relay/HttpText.cpp
+++ b/Source/Core/Relay/HttpText.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-constexpr std::array<std::string_view, 9> ConnectionHeaders = {
+constexpr std::array<std::string_view, 9> HopByHopHeaders = {
     "Connection", "Keep-Alive", "Transfer-Encoding",   "Content-Length", "TE",
     "Trailer",    "Upgrade",    "Proxy-Authorization", "Expect"};
 /// Headers on which the system relies, so that "Connection" cannot name them away.
-constexpr std::array<std::string_view, 2> NeverNamed = {"Host", "Connection"};
+constexpr std::array<std::string_view, 2> ProtectedHeaders = {"Host", "Connection"};
 
 std::string_view trimmed(std::string_view text)
 {
-    const auto isSpace = [](char letter) { return letter == ' ' || letter == '\t'; };
+    const auto isSpace = [](char character) { return character == ' ' || character == '\t'; };
     while (!text.empty() && isSpace(text.front())) {
         text.remove_prefix(1);
     }
@@ -39,19 +39,19 @@
     text += "\r\n";
 }
 
-bool concernsConnection(const Common::Headers &headers, const Common::Header &header)
+bool isHopByHop(const Common::Headers &headers, const Common::Header &header)
 {
     const auto named = [&](std::string_view name) {
         return Common::sameHeaderName(header.name, name);
     };
-    return std::any_of(ConnectionHeaders.begin(), ConnectionHeaders.end(), named)
-           || (std::none_of(NeverNamed.begin(), NeverNamed.end(), named)
+    return std::any_of(HopByHopHeaders.begin(), HopByHopHeaders.end(), named)
+           || (std::none_of(ProtectedHeaders.begin(), ProtectedHeaders.end(), named)
                && hasToken(headers, "Connection", header.name));
 }
 
 } // namespace
 
-std::string answerHead(unsigned status, const Common::Headers &headers)
+std::string responseHead(unsigned status, const Common::Headers &headers)
 {
     const auto reason =
         boost::beast::http::obsolete_reason(boost::beast::http::int_to_status(status));
@@ -69,7 +69,7 @@
     return text;
 }
 
-std::string chunkOf(std::string_view bytes)
+std::string encodeChunk(std::string_view bytes)
 {
     std::string text = fmt::format("{:x}\r\n", bytes.size());
     text += bytes;
@@ -95,11 +95,11 @@
     return false;
 }
 
-Common::Headers endToEnd(const Common::Headers &headers)
+Common::Headers endToEndHeaders(const Common::Headers &headers)
 {
     Common::Headers result;
     for (const auto &header : headers) {
-        if (!concernsConnection(headers, header)) {
+        if (!isHopByHop(headers, header)) {
             result.push_back(header);
         }
     }
--- a/Source/Core/Relay/InboundConnection.cpp
+++ b/Source/Core/Relay/InboundConnection.cpp
@@ -15,7 +15,7 @@
 namespace http = boost::beast::http;
 
 /// Bytes of further requests that are read while one is served.
-constexpr std::size_t ReadAheadBytes = 64 * 1024;
+constexpr std::size_t MaxReadAheadBytes = 64 * 1024;
 /// A connection that has been told to go is read this long, since closing it with unread bytes
 /// would reset it and lose the last answer.
 constexpr Common::milliseconds LingerTime{1500};
@@ -23,11 +23,11 @@
 constexpr Common::milliseconds WriteTimeout{8000};
 /// Idle connections are closed this much later than announced, so that a request which the caller
 /// sends at the last moment is still read.
-constexpr Common::milliseconds IdleSlack{2000};
+constexpr Common::milliseconds IdleGracePeriod{2000};
 constexpr std::string_view Continue = "HTTP/1.1 100 Continue\r\n\r\n";
-constexpr unsigned HttpOneOne = 11;
+constexpr unsigned Http11Version = 11;
 
-unsigned statusOf(const boost::system::error_code &error)
+unsigned statusFor(const boost::system::error_code &error)
 {
     if (error == http::error::header_limit) {
         return 431;
@@ -52,15 +52,15 @@
     return error ? std::string() : remote.address().to_string();
 }
 
-bool InboundConnection::otherSideLeft()
+bool InboundConnection::remoteClosed()
 {
     if (closed_) {
         return true;
     }
     char next = 0;
     const auto size = ::recv(socket_.native_handle(), &next, sizeof(next), MSG_PEEK | MSG_DONTWAIT);
-    const bool nothingYet = size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
-    return size <= 0 && !nothingYet;
+    const bool noData = size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
+    return size <= 0 && !noData;
 }
 
 void InboundConnection::start(Common::Time now)
@@ -68,13 +68,13 @@
     boost::system::error_code ignored;
     socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
     socket_.non_blocking(true, ignored);
-    since_ = now;
+    lastProgressAt_ = now;
     read();
 }
 
 void InboundConnection::read()
 {
-    if (closed_ || readPending_ || in_.size() > ReadAheadBytes) {
+    if (closed_ || readPending_ || in_.size() > MaxReadAheadBytes) {
         return;
     }
     readPending_ = true;
@@ -83,14 +83,14 @@
         [self = shared_from_this()](const boost::system::error_code &error, std::size_t size) {
             self->readPending_ = false;
             if (error) {
-                self->lost();
+                self->handleDisconnect();
                 return;
             }
-            self->received(size);
+            self->handleReceived(size);
         });
 }
 
-void InboundConnection::received(std::size_t size)
+void InboundConnection::handleReceived(std::size_t size)
 {
     if (state_ != State::Lingering) {
         in_.append(buffer_.data(), size);
@@ -103,50 +103,50 @@
 
 void InboundConnection::parse()
 {
-    while (state_ == State::Reading && !closed_ && !in_.empty() && parseStep()) { }
+    while (state_ == State::Reading && !closed_ && !in_.empty() && parseNext()) { }
 }
 
 /// One step through what was read; false when more is needed.
-bool InboundConnection::parseStep()
+bool InboundConnection::parseNext()
 {
     if (!parser_) {
         const auto limits = limits_();
         parser_.emplace();
         parser_->header_limit(limits.headerBytes);
         parser_->body_limit(limits.bodyBytes);
-        since_ = steadyNow();
+        lastProgressAt_ = steadyNow();
     }
-    const bool hadHead = parser_->is_header_done();
+    const bool hadHeader = parser_->is_header_done();
     boost::system::error_code error;
     const auto used = parser_->put(asio::buffer(in_), error);
     in_.erase(0, used);
     if (error && error != http::error::need_more) {
-        refuse(statusOf(error), error.message());
+        rejectRequest(statusFor(error), error.message());
         return false;
     }
-    if (!hadHead && parser_->is_header_done() && !acceptHead()) {
+    if (!hadHeader && parser_->is_header_done() && !validateHead()) {
         return false;
     }
     if (parser_->is_done()) {
-        dispatch();
+        dispatchRequest();
         return false;
     }
     return !error && used > 0;
 }
 
 /// What the parser lets pass but would be read differently by an endpoint, or not at all.
-bool InboundConnection::acceptHead()
+bool InboundConnection::validateHead()
 {
     const auto &message = parser_->get();
     const auto hosts = message.count(http::field::host);
-    const bool oneOne = message.version() >= HttpOneOne;
-    if (hosts > 1 || (oneOne && hosts == 0)) {
-        refuse(400, "Host: expected exactly one");
+    const bool isHttp11 = message.version() >= Http11Version;
+    if (hosts > 1 || (isHttp11 && hosts == 0)) {
+        rejectRequest(400, "Host: expected exactly one");
         return false;
     }
     const auto coding = message[http::field::transfer_encoding];
     if (!coding.empty() && !boost::beast::iequals(coding, "chunked")) {
-        refuse(400, "Transfer-Encoding: expected chunked");
+        rejectRequest(400, "Transfer-Encoding: expected chunked");
         return false;
     }
     if (boost::beast::iequals(message[http::field::expect], "100-continue")) {
@@ -155,16 +155,16 @@
     return true;
 }
 
-void InboundConnection::refuse(unsigned status, std::string_view reason)
+void InboundConnection::rejectRequest(unsigned status, std::string_view reason)
 {
     state_ = State::Serving;
     keepAlive_ = false;
     chunked_ = false;
     isHead_ = false;
-    answer(status, {{"Content-Type", "text/plain"}}, reason);
+    respond(status, {{"Content-Type", "text/plain"}}, reason);
 }
 
-void InboundConnection::dispatch()
+void InboundConnection::dispatchRequest()
 {
     auto &message = parser_->get();
     InboundRequest request;
@@ -175,59 +175,59 @@
     }
     request.body = std::make_shared<const std::string>(std::move(message.body()));
     keepAlive_ = message.keep_alive();
-    chunked_ = message.version() >= HttpOneOne;
+    chunked_ = message.version() >= Http11Version;
     isHead_ = request.method == "HEAD";
     parser_.reset();
     state_ = State::Serving;
-    since_ = steadyNow();
+    lastProgressAt_ = steadyNow();
     handler_(shared_from_this(), std::move(request));
 }
 
-void InboundConnection::answer(unsigned status, Common::Headers headers, std::string_view body)
+void InboundConnection::respond(unsigned status, Common::Headers headers, std::string_view body)
 {
     if (closed_ || state_ != State::Serving) {
         return;
     }
-    keepAlive_ = keepAlive_ && !closeSoon_;
+    keepAlive_ = keepAlive_ && !closeAfterResponse_;
     headers.push_back({"Content-Length", std::to_string(body.size())});
     if (!keepAlive_) {
         headers.push_back({"Connection", "close"});
     }
-    auto text = answerHead(status, headers);
+    auto text = responseHead(status, headers);
     if (!isHead_) {
         text += body;
     }
     write(text);
-    finishAnswer();
+    finishResponse();
 }
 
-void InboundConnection::beginPieces(unsigned status, Common::Headers headers)
+void InboundConnection::beginStream(unsigned status, Common::Headers headers)
 {
-    keepAlive_ = keepAlive_ && !closeSoon_ && chunked_;
+    keepAlive_ = keepAlive_ && !closeAfterResponse_ && chunked_;
     if (chunked_) {
         headers.push_back({"Transfer-Encoding", "chunked"});
     }
     if (!keepAlive_) {
         headers.push_back({"Connection", "close"});
     }
-    pendingHead_ = answerHead(status, headers);
+    pendingHead_ = responseHead(status, headers);
 }
 
-void InboundConnection::piece(std::string_view bytes)
+void InboundConnection::sendPart(std::string_view bytes)
 {
     if (closed_ || state_ != State::Serving || bytes.empty()) {
         return;
     }
     auto text = std::exchange(pendingHead_, {});
     if (chunked_) {
-        text += chunkOf(bytes);
+        text += encodeChunk(bytes);
     } else {
         text += bytes;
     }
     write(text);
 }
 
-void InboundConnection::endPieces()
+void InboundConnection::endStream()
 {
     if (closed_ || state_ != State::Serving) {
         return;
@@ -237,17 +237,17 @@
         text += LastChunk;
     }
     write(text);
-    finishAnswer();
+    finishResponse();
 }
 
-void InboundConnection::finishAnswer()
+void InboundConnection::finishResponse()
 {
-    onGone_ = nullptr;
+    onDisconnect_ = nullptr;
     onDrained_ = nullptr;
-    since_ = steadyNow();
+    lastProgressAt_ = steadyNow();
     if (!keepAlive_) {
         closeAfterWrite_ = true;
-        if (unsent() == 0) {
+        if (unsentBytes() == 0) {
             linger();
         }
         return;
@@ -265,7 +265,7 @@
     if (closed_) {
         return;
     }
-    onGone_ = nullptr;
+    onDisconnect_ = nullptr;
     if (!chunked_ && state_ == State::Serving) {
         // Without chunks the end of the connection is the end of the answer: only a reset shows
         // that it is not whole.
@@ -275,7 +275,7 @@
         return;
     }
     closeAfterWrite_ = true;
-    if (unsent() == 0) {
+    if (unsentBytes() == 0) {
         linger();
     }
 }
@@ -299,15 +299,15 @@
     writing_.swap(out_);
     asio::async_write(socket_, asio::buffer(writing_),
                       [self = shared_from_this()](const boost::system::error_code &error,
-                                                  std::size_t) { self->written(error); });
+                                                  std::size_t) { self->handleWritten(error); });
 }
 
-void InboundConnection::written(const boost::system::error_code &error)
+void InboundConnection::handleWritten(const boost::system::error_code &error)
 {
     writePending_ = false;
     writing_.clear();
     if (error) {
-        lost();
+        handleDisconnect();
         return;
     }
     flush();
@@ -329,19 +329,19 @@
         return;
     }
     state_ = State::Lingering;
-    since_ = steadyNow();
+    lastProgressAt_ = steadyNow();
     in_.clear();
     boost::system::error_code ignored;
     socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
     read();
 }
 
-void InboundConnection::lost()
+void InboundConnection::handleDisconnect()
 {
-    const auto gone = std::exchange(onGone_, nullptr);
+    const auto disconnected = std::exchange(onDisconnect_, nullptr);
     close();
-    if (gone) {
-        gone();
+    if (disconnected) {
+        disconnected();
     }
 }
 
@@ -356,10 +356,10 @@
     socket_.close(ignored);
 }
 
-void InboundConnection::closeSoon()
+void InboundConnection::closeGracefully()
 {
-    closeSoon_ = true;
-    const bool idle = state_ == State::Reading && !parser_ && in_.empty() && unsent() == 0;
+    closeAfterResponse_ = true;
+    const bool idle = state_ == State::Reading && !parser_ && in_.empty() && unsentBytes() == 0;
     if (idle) {
         linger();
     }
@@ -371,19 +371,20 @@
         return;
     }
     if (writePending_ && now - writeSince_ > WriteTimeout) {
-        lost();
+        handleDisconnect();
         return;
     }
-    const auto age = now - since_;
+    const auto age = now - lastProgressAt_;
     if (state_ == State::Lingering && age > LingerTime) {
         close();
     } else if (state_ == State::Reading) {
         const auto limits = limits_();
-        const bool midHead = parser_ && !parser_->is_header_done();
-        const bool midBody = parser_ && parser_->is_header_done();
-        if ((midHead && age > limits.headerTimeout) || (midBody && age > limits.idleTimeout)) {
-            refuse(408, "the request did not arrive in time");
-        } else if (!parser_ && in_.empty() && age > limits.idleTimeout + IdleSlack) {
+        const bool readingHeader = parser_ && !parser_->is_header_done();
+        const bool readingBody = parser_ && parser_->is_header_done();
+        if ((readingHeader && age > limits.headerTimeout)
+            || (readingBody && age > limits.idleTimeout)) {
+            rejectRequest(408, "the request did not arrive in time");
+        } else if (!parser_ && in_.empty() && age > limits.idleTimeout + IdleGracePeriod) {
             linger();
         }
     }
--- a/Source/Core/Relay/InboundConnection.h
+++ b/Source/Core/Relay/InboundConnection.h
@@ -43,27 +43,27 @@
     /// Looks after time limits; to be called every some tens of milliseconds.
     void tick(Common::Time now);
     /// Every further answer closes the connection, and so does being idle.
-    void closeSoon();
+    void closeGracefully();
     /// The next answer closes the connection; until then it may stay idle.
-    void closeAfterNext()
+    void closeAfterNextResponse()
     {
-        closeSoon_ = true;
+        closeAfterResponse_ = true;
     }
 
     // The answer to the request being served.
 
-    void answer(unsigned status, Common::Headers headers, std::string_view body);
+    void respond(unsigned status, Common::Headers headers, std::string_view body);
     /// The head leaves with the first piece or the end, in one write.
-    void beginPieces(unsigned status, Common::Headers headers);
-    void piece(std::string_view bytes);
-    void endPieces();
+    void beginStream(unsigned status, Common::Headers headers);
+    void sendPart(std::string_view bytes);
+    void endStream();
     /// Ends the connection in the midst of an answer, so that it cannot be taken for a whole one.
     void abort();
 
     /// Called once if the other side leaves before its answer is complete.
-    void onGone(std::function<void()> callback)
+    void onDisconnect(std::function<void()> callback)
     {
-        onGone_ = std::move(callback);
+        onDisconnect_ = std::move(callback);
     }
     /// Called when all that was written has left.
     void onDrained(std::function<void()> callback)
@@ -71,7 +71,7 @@
         onDrained_ = std::move(callback);
     }
     /// Bytes that the other side has not taken yet.
-    std::size_t unsent() const
+    std::size_t unsentBytes() const
     {
         return out_.size() + writing_.size();
     }
@@ -85,7 +85,7 @@
     }
     std::string remoteIp() const;
     /// Whether the other side has closed its end, also when that has not been read yet.
-    bool otherSideLeft();
+    bool remoteClosed();
 
 private:
     enum class State {
@@ -98,24 +98,24 @@
     using Parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
 
     void read();
-    void received(std::size_t size);
+    void handleReceived(std::size_t size);
     void parse();
-    bool parseStep();
-    void refuse(unsigned status, std::string_view reason);
-    bool acceptHead();
-    void dispatch();
-    void finishAnswer();
+    bool parseNext();
+    void rejectRequest(unsigned status, std::string_view reason);
+    bool validateHead();
+    void dispatchRequest();
+    void finishResponse();
     void write(std::string_view bytes);
     void flush();
-    void written(const boost::system::error_code &error);
-    void lost();
+    void handleWritten(const boost::system::error_code &error);
+    void handleDisconnect();
     void close();
     void linger();
 
     asio::ip::tcp::socket socket_;
     LimitsSource limits_;
     Handler handler_;
-    std::function<void()> onGone_;
+    std::function<void()> onDisconnect_;
     std::function<void()> onDrained_;
     State state_ = State::Reading;
     std::optional<Parser> parser_;
@@ -127,13 +127,13 @@
     bool readPending_ = false;
     bool writePending_ = false;
     bool closed_ = false;
-    bool closeSoon_ = false;
+    bool closeAfterResponse_ = false;
     bool keepAlive_ = true;
     bool chunked_ = true;
     bool isHead_ = false;
     bool closeAfterWrite_ = false;
     /// Last progress in the present state.
-    Common::Time since_{};
+    Common::Time lastProgressAt_{};
     Common::Time writeSince_{};
 };
 
--- a/Source/Core/Relay/InboundServer.cpp
+++ b/Source/Core/Relay/InboundServer.cpp
@@ -40,8 +40,8 @@
                     std::make_shared<InboundConnection>(std::move(socket), limits_, handler_);
                 connections_.push_back(connection);
                 connection->start(std::chrono::steady_clock::now());
-                if (closeSoon_) {
-                    connection->closeAfterNext();
+                if (closeAfterResponse_) {
+                    connection->closeAfterNextResponse();
                 }
             }
             accept();
@@ -54,11 +54,11 @@
     acceptor_.close(ignored);
 }
 
-void InboundServer::closeSoon()
+void InboundServer::closeGracefully()
 {
-    closeSoon_ = true;
+    closeAfterResponse_ = true;
     for (const auto &connection : connections_) {
-        connection->closeSoon();
+        connection->closeGracefully();
     }
 }
 
--- a/Source/Core/Relay/InboundServer.h
+++ b/Source/Core/Relay/InboundServer.h
@@ -20,7 +20,7 @@
     Common::Result<std::string> listen(const std::string &address);
     void stopAccepting();
     /// Every connection goes with its next answer, or now if it is idle.
-    void closeSoon();
+    void closeGracefully();
     void tick(Common::Time now);
 
     std::size_t connections() const
@@ -39,7 +39,7 @@
     InboundConnection::Handler handler_;
     asio::ip::tcp::acceptor acceptor_;
     std::vector<std::shared_ptr<InboundConnection>> connections_;
-    bool closeSoon_ = false;
+    bool closeAfterResponse_ = false;
 };
 
 } // namespace LaburnumChute::Relay
--- a/Source/Core/Relay/OutboundCall.cpp
+++ b/Source/Core/Relay/OutboundCall.cpp
@@ -14,17 +14,17 @@
 
 namespace http = boost::beast::http;
 
-constexpr std::uint32_t HeaderLimit = 64 * 1024;
+constexpr std::uint32_t MaxHeaderBytes = 64 * 1024;
 /// More than any answer in use; a stated length beyond it is taken for damage rather than memory.
-constexpr std::uint64_t BodyLimit = 64u << 20;
+constexpr std::uint64_t MaxBodyBytes = 64u << 20;
 /// Sent bytes that are not acknowledged for so long end the connection. A path that was cut shows
 /// nothing else for minutes.
-constexpr unsigned UserTimeoutMs = 2000;
+constexpr unsigned TcpUserTimeoutMs = 2000;
 /// An open connection can go silent for good while new ones work; probes of the system show it
 /// after about four seconds.
-constexpr int ProbeIdleSeconds = 2;
-constexpr int ProbeIntervalSeconds = 1;
-constexpr int ProbeCount = 2;
+constexpr int KeepAliveIdleSeconds = 2;
+constexpr int KeepAliveIntervalSeconds = 1;
+constexpr int KeepAliveProbeCount = 2;
 
 void setOption(asio::ip::tcp::socket &socket, int level, int name, int value)
 {
@@ -32,16 +32,16 @@
     static_cast<void>(::setsockopt(socket.native_handle(), level, name, &value, sizeof(value)));
 }
 
-void prepare(asio::ip::tcp::socket &socket)
+void configureSocket(asio::ip::tcp::socket &socket)
 {
     boost::system::error_code ignored;
     socket.non_blocking(true, ignored);
     socket.set_option(asio::ip::tcp::no_delay(true), ignored);
     socket.set_option(asio::socket_base::keep_alive(true), ignored);
-    setOption(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, UserTimeoutMs);
-    setOption(socket, IPPROTO_TCP, TCP_KEEPIDLE, ProbeIdleSeconds);
-    setOption(socket, IPPROTO_TCP, TCP_KEEPINTVL, ProbeIntervalSeconds);
-    setOption(socket, IPPROTO_TCP, TCP_KEEPCNT, ProbeCount);
+    setOption(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, TcpUserTimeoutMs);
+    setOption(socket, IPPROTO_TCP, TCP_KEEPIDLE, KeepAliveIdleSeconds);
+    setOption(socket, IPPROTO_TCP, TCP_KEEPINTVL, KeepAliveIntervalSeconds);
+    setOption(socket, IPPROTO_TCP, TCP_KEEPCNT, KeepAliveProbeCount);
 }
 
 } // namespace
@@ -56,10 +56,10 @@
 
 void OutboundCall::start(Common::Time now)
 {
-    connection_ = pool_->take(request_.address, request_.maxIdle, now);
+    connection_ = pool_->acquire(request_.address, request_.maxIdle, now);
     if (connection_) {
         usedIdleConnection_ = true;
-        connectionMade_ = true;
+        connected_ = true;
         send();
         return;
     }
@@ -80,12 +80,12 @@
         });
         return;
     }
-    prepare(connection_->socket);
+    configureSocket(connection_->socket);
     connecting_ = true;
-    connectUntil_ = now + request_.connectTimeout;
+    connectDeadline_ = now + request_.connectTimeout;
     connection_->socket.async_connect(
         *target, [self = shared_from_this()](const boost::system::error_code &failure) {
-            if (self->over_) {
+            if (self->finished_) {
                 return;
             }
             self->connecting_ = false;
@@ -97,7 +97,7 @@
                 self->fail(CallFailure::NotConnected, "the endpoint takes no more requests");
                 return;
             }
-            self->connectionMade_ = true;
+            self->connected_ = true;
             self->send();
         });
 }
@@ -112,7 +112,7 @@
         [self = shared_from_this()](const boost::system::error_code &error, std::size_t) {
             // After an error the read tells what came of the call: an answer may be
             // there already.
-            self->written_ = !error;
+            self->requestWritten_ = !error;
         });
     read();
 }
@@ -120,16 +120,16 @@
 void OutboundCall::newParser()
 {
     parser_.emplace();
-    parser_->header_limit(HeaderLimit);
-    parser_->body_limit(BodyLimit);
+    parser_->header_limit(MaxHeaderBytes);
+    parser_->body_limit(MaxBodyBytes);
     parser_->skip(request_.isHeadMethod);
-    headDone_ = false;
-    skipping_ = false;
+    headerDone_ = false;
+    skippingResponse_ = false;
 }
 
 void OutboundCall::read()
 {
-    if (over_ || readPending_ || paused_) {
+    if (finished_ || readPending_ || paused_) {
         return;
     }
     readPending_ = true;
@@ -137,7 +137,7 @@
         asio::buffer(buffer_),
         [self = shared_from_this()](const boost::system::error_code &error, std::size_t size) {
             self->readPending_ = false;
-            if (!self->over_) {
+            if (!self->finished_) {
                 self->received(error, size);
             }
         });
@@ -151,8 +151,8 @@
         read();
         return;
     }
-    const bool orderly = error == asio::error::eof;
-    if (orderly && headDone_ && !skipping_ && parser_->need_eof()) {
+    const bool cleanClose = error == asio::error::eof;
+    if (cleanClose && headerDone_ && !skippingResponse_ && parser_->need_eof()) {
         boost::system::error_code ignored;
         parser_->put_eof(ignored);
         finish();
@@ -164,10 +164,10 @@
 void OutboundCall::parse()
 {
     const auto self = shared_from_this();
-    while (!over_ && !in_.empty() && parseStep()) { }
+    while (!finished_ && !in_.empty() && parseNext()) { }
 }
 
-bool OutboundCall::parseStep()
+bool OutboundCall::parseNext()
 {
     boost::system::error_code error;
     const auto used = parser_->put(asio::buffer(in_), error);
@@ -176,20 +176,20 @@
         fail(CallFailure::Broken, "not an answer: " + error.message());
         return false;
     }
-    if (!headDone_ && parser_->is_header_done()) {
-        headDone_ = true;
-        if (!takeHead()) {
-            return !over_;
+    if (!headerDone_ && parser_->is_header_done()) {
+        headerDone_ = true;
+        if (!handleHead()) {
+            return !finished_;
         }
     }
-    if (headDone_) {
+    if (headerDone_) {
         deliverBody();
     }
-    if (over_) {
+    if (finished_) {
         return false;
     }
     if (parser_->is_done()) {
-        if (skipping_) {
+        if (skippingResponse_) {
             newParser();
             return true;
         }
@@ -200,7 +200,7 @@
 }
 
 /// False when the answer is not the one expected.
-bool OutboundCall::takeHead()
+bool OutboundCall::handleHead()
 {
     const auto &message = parser_->get();
     constexpr unsigned FirstFinalStatus = 200;
@@ -208,22 +208,22 @@
         newParser();
         return false;
     }
-    AnswerHead head;
+    ResponseHead head;
     head.status = message.result_int();
     for (const auto &field : message) {
         head.headers.push_back({std::string(field.name_string()), std::string(field.value())});
     }
-    keptFor_ = keepAliveTimeout(head.headers);
-    if (!keptFor_) {
-        keptFor_ = request_.assumedKeep;
+    idleTimeout_ = keepAliveTimeout(head.headers);
+    if (!idleTimeout_) {
+        idleTimeout_ = request_.assumedIdleTimeout;
     }
     const auto self = shared_from_this();
-    const bool ours = events_.head(head);
-    if (over_) {
+    const bool expected = events_.head(head);
+    if (finished_) {
         return false;
     }
-    skipping_ = !ours;
-    if (skipping_ && parser_->need_eof()) {
+    skippingResponse_ = !expected;
+    if (skippingResponse_ && parser_->need_eof()) {
         fail(CallFailure::Broken, "an answer to another request that has no length");
         return false;
     }
@@ -237,7 +237,7 @@
         return;
     }
     const auto bytes = std::exchange(body, {});
-    if (!skipping_) {
+    if (!skippingResponse_) {
         const auto self = shared_from_this();
         events_.body(bytes);
     }
@@ -246,12 +246,12 @@
 void OutboundCall::finish()
 {
     const auto self = shared_from_this();
-    over_ = true;
-    const bool reusable = written_ && in_.empty() && parser_->is_done()
+    finished_ = true;
+    const bool reusable = requestWritten_ && in_.empty() && parser_->is_done()
                           && parser_->get().keep_alive() && !parser_->need_eof();
     if (reusable) {
-        pool_->give(request_.address, std::move(connection_), keptFor_,
-                    std::chrono::steady_clock::now());
+        pool_->release(request_.address, std::move(connection_), idleTimeout_,
+                       std::chrono::steady_clock::now());
     } else {
         boost::system::error_code ignored;
         connection_->socket.close(ignored);
@@ -261,7 +261,7 @@
 
 void OutboundCall::fail(CallFailure failure, const std::string &reason)
 {
-    if (over_) {
+    if (finished_) {
         return;
     }
     const auto self = shared_from_this();
@@ -271,10 +271,10 @@
 
 void OutboundCall::cancel()
 {
-    if (over_) {
+    if (finished_) {
         return;
     }
-    over_ = true;
+    finished_ = true;
     if (connection_) {
         boost::system::error_code ignored;
         connection_->socket.close(ignored);
@@ -284,14 +284,14 @@
 void OutboundCall::pause(bool paused)
 {
     paused_ = paused;
-    if (!paused_ && connectionMade_) {
+    if (!paused_ && connected_) {
         read();
     }
 }
 
 void OutboundCall::tick(Common::Time now)
 {
-    if (connecting_ && now >= connectUntil_) {
+    if (connecting_ && now >= connectDeadline_) {
         fail(CallFailure::NotConnected, "no connection in time");
     }
 }
--- a/Source/Core/Relay/OutboundCall.h
+++ b/Source/Core/Relay/OutboundCall.h
@@ -27,12 +27,12 @@
     /// could say whether the request has run. Zero asks for a new connection.
     Common::Duration maxIdle{0};
     /// How long the other side keeps an idle connection when it does not say so itself.
-    std::optional<Common::Duration> assumedKeep;
+    std::optional<Common::Duration> assumedIdleTimeout;
     Common::Duration connectTimeout = Common::milliseconds(400);
 };
 
 /// The head of an answer.
-struct AnswerHead
+struct ResponseHead
 {
     unsigned status = 0;
     Common::Headers headers;
@@ -53,7 +53,7 @@
     /// the call fails with NotConnected. Optional.
     std::function<bool()> maySend;
     /// False when the answer belongs to another request; it is then skipped.
-    std::function<bool(const AnswerHead &)> head;
+    std::function<bool(const ResponseHead &)> head;
     std::function<void(const std::string &)> body;
     /// The answer is whole.
     std::function<void()> end;
@@ -77,9 +77,9 @@
     /// Reading stops and goes on, for a receiver that is slower.
     void pause(bool paused);
 
-    bool connectionMade() const
+    bool connected() const
     {
-        return connectionMade_;
+        return connected_;
     }
     bool usedIdleConnection() const
     {
@@ -94,8 +94,8 @@
     void read();
     void received(const boost::system::error_code &error, std::size_t size);
     void parse();
-    bool parseStep();
-    bool takeHead();
+    bool parseNext();
+    bool handleHead();
     void newParser();
     void deliverBody();
     void finish();
@@ -106,19 +106,19 @@
     CallEvents events_;
     OutboundConnectionPtr connection_;
     std::optional<Parser> parser_;
-    std::optional<Common::Duration> keptFor_;
+    std::optional<Common::Duration> idleTimeout_;
     std::string in_;
     std::array<char, 8192> buffer_{};
-    Common::Time connectUntil_{};
+    Common::Time connectDeadline_{};
     bool connecting_ = false;
-    bool connectionMade_ = false;
+    bool connected_ = false;
     bool usedIdleConnection_ = false;
-    bool written_ = false;
-    bool headDone_ = false;
-    bool skipping_ = false;
+    bool requestWritten_ = false;
+    bool headerDone_ = false;
+    bool skippingResponse_ = false;
     bool paused_ = false;
     bool readPending_ = false;
-    bool over_ = false;
+    bool finished_ = false;
 };
 
 } // namespace LaburnumChute::Relay
--- a/Source/Core/Relay/OutboundPool.h
+++ b/Source/Core/Relay/OutboundPool.h
@@ -27,7 +27,7 @@
     bool reused = false;
     /// When it was last given back, and until when the other side keeps it open.
     Common::Time idleSince{};
-    Common::Time idleUntil{};
+    Common::Time reusableUntil{};
 };
 
 using OutboundConnectionPtr = std::unique_ptr<OutboundConnection>;
@@ -43,14 +43,14 @@
         return context_;
     }
     /// An idle connection that has been idle no longer than given; null when there is none.
-    OutboundConnectionPtr take(const std::string &address, Common::Duration maxIdle,
-                               Common::Time now);
+    OutboundConnectionPtr acquire(const std::string &address, Common::Duration maxIdle,
+                                  Common::Time now);
     /// @param keptFor how long the other side says that it keeps an idle connection
-    void give(const std::string &address, OutboundConnectionPtr connection,
-              std::optional<Common::Duration> keptFor, Common::Time now);
+    void release(const std::string &address, OutboundConnectionPtr connection,
+                 std::optional<Common::Duration> idleTimeout, Common::Time now);
     /// Closes what has been idle for too long.
-    void expire(Common::Time now);
-    std::size_t idle() const;
+    void closeExpired(Common::Time now);
+    std::size_t idleCount() const;
 
 private:
     asio::io_context &context_;
--- a/Source/Core/Relay/PeerSync.cpp
+++ b/Source/Core/Relay/PeerSync.cpp
@@ -13,39 +13,39 @@
 constexpr unsigned Ok = 200;
 /// The own watch brings a change as soon as it does a peer's; the calls that gather changes for a
 /// moment differ by less than this.
-constexpr Common::milliseconds Patience{200};
-constexpr Common::milliseconds Timeout{800};
-constexpr Common::milliseconds Pause{150};
+constexpr Common::milliseconds MaxLag{200};
+constexpr Common::milliseconds RequestTimeout{800};
+constexpr Common::milliseconds RequestInterval{150};
 /// Exceeds the time for which a silent instance still counts as reachable.
 constexpr Common::milliseconds RecentFailurePeriod{3000};
-constexpr std::string_view Query = "?after=";
+constexpr std::string_view RevisionQuery = "?after=";
 
 } // namespace
 
 std::string itemsTarget(Catalog::Revision known)
 {
-    return fmt::format("{}{}{}", ItemsPath, Query, known);
+    return fmt::format("{}{}{}", ItemsPath, RevisionQuery, known);
 }
 
-std::optional<Catalog::Revision> readItemsTarget(std::string_view target)
+std::optional<Catalog::Revision> parseItemsTarget(std::string_view target)
 {
     if (target.substr(0, ItemsPath.size()) != ItemsPath) {
         return std::nullopt;
     }
     target.remove_prefix(ItemsPath.size());
-    if (target.substr(0, Query.size()) != Query) {
+    if (target.substr(0, RevisionQuery.size()) != RevisionQuery) {
         return std::nullopt;
     }
-    target.remove_prefix(Query.size());
+    target.remove_prefix(RevisionQuery.size());
     Catalog::Revision revision = 0;
     const auto parsed = std::from_chars(target.data(), target.data() + target.size(), revision);
     return parsed.ec == std::errc() ? std::optional(revision) : std::nullopt;
 }
 
-PeerSync::PeerSync(std::shared_ptr<OutboundPool> pool, Common::RegionName home,
+PeerSync::PeerSync(std::shared_ptr<OutboundPool> pool, Common::RegionName ownRegion,
                    ChangesHandler changes)
-    : home_(std::move(home))
-    , changes_(std::move(changes))
+    : ownRegion_(std::move(ownRegion))
+    , onChanges_(std::move(changes))
     , fetch_(std::move(pool))
 {
 }
@@ -56,18 +56,18 @@
     return found != lastFailureAt_.end() && now - found->second < RecentFailurePeriod;
 }
 
-const Fleet::Peer *PeerSync::choose(const std::vector<Fleet::Peer> &peers, Catalog::Revision known,
-                                    Common::Time now) const
+const Fleet::Peer *PeerSync::choosePeer(const std::vector<Fleet::Peer> &peers,
+                                        Catalog::Revision known, Common::Time now) const
 {
     // Of the own region if possible: bytes between regions cost more. Then who knows most.
     const auto rank = [this, now](const Fleet::Peer &peer) {
-        return std::tuple(!failedRecently(peer.record.id, now), peer.record.region == home_,
+        return std::tuple(!failedRecently(peer.record.id, now), peer.record.region == ownRegion_,
                           peer.record.knownRevision);
     };
     const Fleet::Peer *best = nullptr;
     for (const auto &peer : peers) {
-        const bool helps = peer.reachable && peer.record.knownRevision > known;
-        if (helps && (best == nullptr || rank(peer) > rank(*best))) {
+        const bool knowsMore = peer.reachable && peer.record.knownRevision > known;
+        if (knowsMore && (best == nullptr || rank(peer) > rank(*best))) {
             best = &peer;
         }
     }
@@ -78,36 +78,36 @@
                     Common::Time now)
 {
     fetch_.tick(now);
-    const auto *peer = choose(peers, known, now);
+    const auto *peer = choosePeer(peers, known, now);
     if (peer == nullptr) {
         behindSince_.reset();
         return;
     }
     behindSince_ = behindSince_.value_or(now);
     // One that knows nothing yet has no watch to wait for.
-    const bool patient = listens || known == 0 || now - *behindSince_ >= Patience;
-    if (patient && !asking_ && now >= nextAt_) {
-        begin(*peer, known, now);
+    const bool waitedEnough = listens || known == 0 || now - *behindSince_ >= MaxLag;
+    if (waitedEnough && !requestPending_ && now >= nextRequestAt_) {
+        beginRequest(*peer, known, now);
     }
 }
 
-void PeerSync::begin(const Fleet::Peer &peer, Catalog::Revision known, Common::Time now)
+void PeerSync::beginRequest(const Fleet::Peer &peer, Catalog::Revision known, Common::Time now)
 {
     std::erase_if(lastFailureAt_,
                   [&](const auto &entry) { return !failedRecently(entry.first, now); });
-    nextAt_ = now + Pause;
-    asking_ = true;
+    nextRequestAt_ = now + RequestInterval;
+    requestPending_ = true;
     fetch_.get(
-        peer.record.peerAddress, itemsTarget(known), Timeout,
+        peer.record.peerAddress, itemsTarget(known), RequestTimeout,
         [this, from = peer.record.id](unsigned status, const std::string &body) {
-            asking_ = false;
+            requestPending_ = false;
             const auto changes = Peers::decodeValue<Catalog::ItemChanges>(body);
             if (status != Ok || !changes) {
                 lastFailureAt_[from] = steadyNow();
                 return;
             }
             lastFailureAt_.erase(from);
-            changes_(*changes, from);
+            onChanges_(*changes, from);
         },
         now);
 }
--- a/Source/Core/Relay/PeerSync.h
+++ b/Source/Core/Relay/PeerSync.h
@@ -19,7 +19,7 @@
 inline constexpr std::string_view ItemsPath = "/laburnumchute/items";
 std::string itemsTarget(Catalog::Revision known);
 /// The revision of such a call; nothing for other targets.
-std::optional<Catalog::Revision> readItemsTarget(std::string_view target);
+std::optional<Catalog::Revision> parseItemsTarget(std::string_view target);
 
 /// Fetches from other instances what this one lacks of the platform's store.
 ///
@@ -33,26 +33,27 @@
     using ChangesHandler =
         std::function<void(const Catalog::ItemChanges &, const Common::InstanceId &from)>;
 
-    PeerSync(std::shared_ptr<OutboundPool> pool, Common::RegionName home, ChangesHandler changes);
+    PeerSync(std::shared_ptr<OutboundPool> pool, Common::RegionName ownRegion,
+             ChangesHandler changes);
 
     /// @param listens this instance does not watch the store and has nothing else to wait for
     void tick(const std::vector<Fleet::Peer> &peers, Catalog::Revision known, bool listens,
               Common::Time now);
 
 private:
-    const Fleet::Peer *choose(const std::vector<Fleet::Peer> &peers, Catalog::Revision known,
-                              Common::Time now) const;
+    const Fleet::Peer *choosePeer(const std::vector<Fleet::Peer> &peers, Catalog::Revision known,
+                                  Common::Time now) const;
     bool failedRecently(const Common::InstanceId &peer, Common::Time now) const;
-    void begin(const Fleet::Peer &peer, Catalog::Revision known, Common::Time now);
+    void beginRequest(const Fleet::Peer &peer, Catalog::Revision known, Common::Time now);
 
-    Common::RegionName home_;
-    ChangesHandler changes_;
+    Common::RegionName ownRegion_;
+    ChangesHandler onChanges_;
     SimpleFetch fetch_;
-    bool asking_ = false;
+    bool requestPending_ = false;
     /// Time of the last failed request to each peer; removed when a request succeeds.
     std::map<Common::InstanceId, Common::Time> lastFailureAt_;
     std::optional<Common::Time> behindSince_;
-    Common::Time nextAt_{};
+    Common::Time nextRequestAt_{};
 };
 
 } // namespace LaburnumChute::Relay
--- a/Source/Core/Relay/RelayGateway.cpp
+++ b/Source/Core/Relay/RelayGateway.cpp
@@ -19,16 +19,16 @@
 /// read and write would wake the process several times for each event.
 constexpr milliseconds BusyTick{20};
 constexpr milliseconds IdleTick{50};
-constexpr milliseconds SettingsInterval{1000};
+constexpr milliseconds SettingsReloadInterval{1000};
 constexpr milliseconds HousekeepingInterval{1000};
 /// Descriptors that are left for files, and the part of the rest that connections of callers get:
 /// the others are for endpoints, other instances and the store.
 constexpr int ReservedDescriptors = 200;
-constexpr double CallerDescriptorShare = 0.6;
+constexpr double CallerDescriptorFraction = 0.6;
 /// From the first configuration until the engines' memory is asked about: by then the region's
 /// other instances have answered a heartbeat, so that each engine is asked by one of them. Until it
 /// is known, prompts are read again that some engine holds.
-constexpr milliseconds LearnCachesAfter{150};
+constexpr milliseconds CacheQueryDelay{150};
 constexpr int StandardOutput = 1;
 
 std::uint64_t randomNumber()
@@ -42,7 +42,7 @@
     return ip + ":" + std::to_string(port);
 }
 
-Fleet::InstanceRecord recordOf(const Catalog::InstanceSettings &settings)
+Fleet::InstanceRecord makeInstanceRecord(const Catalog::InstanceSettings &settings)
 {
     Fleet::InstanceRecord record;
     record.id = settings.instance;
@@ -66,10 +66,10 @@
 std::size_t callerConnectionLimit(const Catalog::InstanceSettings &settings)
 {
     const double usable = std::max(0, settings.descriptors - ReservedDescriptors);
-    return static_cast<std::size_t>(std::max(16.0, usable * CallerDescriptorShare));
+    return static_cast<std::size_t>(std::max(16.0, usable * CallerDescriptorFraction));
 }
 
-std::string fileText(const std::string &path)
+std::string readFile(const std::string &path)
 {
     std::ifstream file(path);
     std::ostringstream text;
@@ -112,20 +112,20 @@
     , relayMetrics_(registry_)
     , log_(StandardOutput, options_.log, settings_.instance.text())
     , catalog_(&Platform::readItem)
-    , roster_(options_.roster, recordOf(settings_), randomNumber())
+    , roster_(options_.roster, makeInstanceRecord(settings_), randomNumber())
     , scheduler_(options_.dispatch, settings_.instance, settings_.region, randomNumber(),
                  steadyNow())
     , pool_(std::make_shared<OutboundPool>(context_))
     , store_(
           pool_, watchOptions(settings_.bounds),
-          [this](const Catalog::ItemChanges &changes) { takeChanges(changes, "store"); },
+          [this](const Catalog::ItemChanges &changes) { applyChanges(changes, "store"); },
           [this](StoreState state, const std::string &reason) { storeStateChanged(state, reason); })
     , peerSync_(pool_, settings_.region,
                 [this](const Catalog::ItemChanges &changes, const Common::InstanceId &from) {
-                    takeChanges(changes, from.text());
+                    applyChanges(changes, from.text());
                 })
     , fetch_(pool_)
-    , gossip_(context_, [this](std::string_view datagram) { takeDatagram(datagram); })
+    , gossip_(context_, [this](std::string_view datagram) { handleDatagram(datagram); })
     , callers_(
           context_, callerConnectionLimit(settings_),
           [this] {
@@ -166,7 +166,7 @@
 Common::Result<void> RelayGateway::start()
 {
     const auto now = steadyNow();
-    settingsText_ = fileText(options_.settingsPath);
+    settingsText_ = readFile(options_.settingsPath);
     struct Listening
     {
         InboundServer &server;
@@ -220,9 +220,9 @@
     fleetChanged(now);
 }
 
-void RelayGateway::rereadSettings(bool bySignal, Common::Time now)
+void RelayGateway::reloadSettings(bool bySignal, Common::Time now)
 {
-    auto text = fileText(options_.settingsPath);
+    auto text = readFile(options_.settingsPath);
     if (text == settingsText_ && !bySignal) {
         return;
     }
@@ -272,17 +272,17 @@
         heartbeat(now);
     }
     fetch_.tick(now);
-    if (!learnCachesAt_ && ready()) {
-        learnCachesAt_ = now + LearnCachesAfter;
+    if (!queryCachesAt_ && ready()) {
+        queryCachesAt_ = now + CacheQueryDelay;
     }
-    if (!cachesLearnt_ && learnCachesAt_ && now >= *learnCachesAt_) {
-        learnCaches(now);
+    if (!cachesQueried_ && queryCachesAt_ && now >= *queryCachesAt_) {
+        queryPrefixCaches(now);
     }
     peerSync_.tick(knownPeers_, catalog_.items().upTo(), duty_ == Fleet::WatchDuty::Listens, now);
     if (catalog_.expire(now)) {
         endpointsChanged(now);
     }
-    carryOut(scheduler_.tick(now), now);
+    applyEffects(scheduler_.tick(now), now);
     std::vector<std::shared_ptr<RelayedCall>> calls;
     calls.reserve(calls_.size());
     for (const auto &[id, call] : calls_) {
@@ -295,12 +295,12 @@
         server->tick(now);
     }
     if (now >= settingsAt_) {
-        settingsAt_ = now + SettingsInterval;
-        rereadSettings(false, now);
+        settingsAt_ = now + SettingsReloadInterval;
+        reloadSettings(false, now);
     }
     if (now >= housekeepingAt_) {
         housekeepingAt_ = now + HousekeepingInterval;
-        pool_->expire(now);
+        pool_->closeExpired(now);
     }
     if (shutdown_) {
         continueShutdown(now);
@@ -327,7 +327,7 @@
 {
     reloadSignals_.async_wait([this](const boost::system::error_code &error, int) {
         if (!error) {
-            rereadSettings(true, steadyNow());
+            reloadSettings(true, steadyNow());
             waitForReload();
         }
     });
@@ -358,12 +358,12 @@
     const auto step = shutdownStep(now);
     if (step.closeConnections && !closing_) {
         closing_ = true;
-        callers_.closeSoon();
+        callers_.closeGracefully();
     }
-    if (step.refuseConnections) {
+    if (step.rejectConnections) {
         callers_.stopAccepting();
         // Those that came meanwhile and sent nothing.
-        callers_.closeSoon();
+        callers_.closeGracefully();
     }
     if (step.end) {
         EventLine line("stop");
--- a/Source/Core/Relay/RelayGateway.h
+++ b/Source/Core/Relay/RelayGateway.h
@@ -84,10 +84,10 @@
     {
         return settings_;
     }
-    void carryOut(const Dispatch::Effects &effects, Common::Time now);
+    void applyEffects(const Dispatch::Effects &effects, Common::Time now);
     /// An instance of the region that can be reached.
-    std::optional<Fleet::InstanceRecord> peerIn(const Common::RegionName &region);
-    void forget(Dispatch::CallId call);
+    std::optional<Fleet::InstanceRecord> findPeerIn(const Common::RegionName &region);
+    void removeCall(Dispatch::CallId call);
 
 private:
     using Connection = std::shared_ptr<InboundConnection>;
@@ -97,30 +97,30 @@
     void serveReadiness(const Connection &connection, const InboundRequest &request);
     void serveDirectory(const Connection &connection, const InboundRequest &request);
     void serveMetrics(const Connection &connection, const InboundRequest &request);
-    void serveCaches(const Connection &connection);
+    void servePrefixCaches(const Connection &connection);
     /// A new process asks the region's engines, and an instance that has run for longer, what the
     /// engines' memory holds.
-    void learnCaches(Common::Time now);
+    void queryPrefixCaches(Common::Time now);
     void serveItems(const Connection &connection, Catalog::Revision known);
-    void refuse(const Connection &connection, unsigned status, const std::string &requestId,
-                const std::string &detail, std::optional<Common::milliseconds> retryAfter);
-    void begin(RelayPlan plan, const Connection &connection);
-    Common::Result<RelayPlan> planForwarded(const InboundRequest &request, const std::string &note,
-                                            Common::Time now) const;
-    bool tooMuchInMemory(const InboundRequest &request) const;
+    void rejectRequest(const Connection &connection, unsigned status, const std::string &requestId,
+                       const std::string &detail, std::optional<Common::milliseconds> retryAfter);
+    void beginCall(RelayPlan plan, const Connection &connection);
+    Common::Result<RelayPlan> parseForwarded(const InboundRequest &request,
+                                             const std::string &metadata, Common::Time now) const;
+    bool exceedsBodyMemory(const InboundRequest &request) const;
     /// Time since the catalog was known to match the store; nothing when it never was.
     std::optional<Common::Duration> catalogAge(Common::Time now) const;
     /// The store, or a peer that hears it, has answered lately.
-    bool catalogFresh(Common::Time now) const;
+    bool isCatalogFresh(Common::Time now) const;
     bool storeSettled(Common::Time now) const;
 
-    void takeChanges(const Catalog::ItemChanges &changes, const std::string &source);
+    void applyChanges(const Catalog::ItemChanges &changes, const std::string &source);
     void storeStateChanged(StoreState state, const std::string &reason);
     void endpointsChanged(Common::Time now);
-    void takeDatagram(std::string_view datagram);
-    void takeHeartbeat(const Fleet::Heartbeat &heartbeat, Common::Time now);
+    void handleDatagram(std::string_view datagram);
+    void handleHeartbeat(const Fleet::Heartbeat &heartbeat, Common::Time now);
     /// Tells the region's other instances what was sent since the last tick.
-    void tellNeighbours();
+    void sendPromptNotices();
     void sendAll(const Fleet::Sends &sends);
     void fleetChanged(Common::Time now);
     void announceRevision(Common::Time now);
@@ -128,7 +128,7 @@
     void scheduleTick();
     void tick(Common::Time now);
     void heartbeat(Common::Time now);
-    void rereadSettings(bool bySignal, Common::Time now);
+    void reloadSettings(bool bySignal, Common::Time now);
     void applySettings(Common::Time now);
     void waitForSignal();
     void waitForReload();
@@ -163,7 +163,7 @@
     asio::signal_set stopSignals_;
     asio::signal_set reloadSignals_;
     std::unordered_map<Dispatch::CallId, std::shared_ptr<RelayedCall>> calls_;
-    Dispatch::CallId nextCall_ = 1;
+    Dispatch::CallId nextCallId_ = 1;
     std::vector<Fleet::Peer> knownPeers_;
     Fleet::WatchDuty duty_ = Fleet::WatchDuty::Watches;
     std::map<Common::InstanceId, bool> peerAlive_;
@@ -171,8 +171,8 @@
     /// applied.
     std::optional<Common::Time> catalogCompleteAt_;
     Common::Time heartbeatAt_{};
-    std::optional<Common::Time> learnCachesAt_;
-    bool cachesLearnt_ = false;
+    std::optional<Common::Time> queryCachesAt_;
+    bool cachesQueried_ = false;
     Common::Time settingsAt_{};
     Common::Time housekeepingAt_{};
     std::optional<ShutdownPlan> shutdown_;
--- a/Source/Core/Relay/RelayKnowledge.cpp
+++ b/Source/Core/Relay/RelayKnowledge.cpp
@@ -10,7 +10,7 @@
 
 // What is known.
 
-void RelayGateway::takeChanges(const Catalog::ItemChanges &changes, const std::string &source)
+void RelayGateway::applyChanges(const Catalog::ItemChanges &changes, const std::string &source)
 {
     const auto now = steadyNow();
     const auto before = catalog_.items().upTo();
@@ -30,7 +30,7 @@
             .add("revision", static_cast<std::int64_t>(catalog_.items().upTo()))
             .add("source", source);
         log_.write(line, now);
-        carryOut(scheduler_.setServices(catalog_.routes()->configuration().services, now), now);
+        applyEffects(scheduler_.setServices(catalog_.routes()->configuration().services, now), now);
     }
     if (news.endpoints || news.evacuations || news.configuration) {
         endpointsChanged(now);
@@ -81,7 +81,7 @@
         (isOwn ? own : remote).push_back(std::move(endpoint));
     }
     scheduler_.setRemoteEndpoints(remote);
-    carryOut(scheduler_.setEndpoints(own, catalog_.evacuated(), now), now);
+    applyEffects(scheduler_.setEndpoints(own, catalog_.evacuated(), now), now);
 }
 
 std::optional<Common::Duration> RelayGateway::catalogAge(Common::Time now) const
@@ -89,7 +89,7 @@
     return Fleet::knowledgeAge(store_.answerAge(now), catalog_.items().upTo(), knownPeers_);
 }
 
-bool RelayGateway::catalogFresh(Common::Time now) const
+bool RelayGateway::isCatalogFresh(Common::Time now) const
 {
     const auto age = catalogAge(now);
     return age && *age < settings_.bounds.configuration;
@@ -120,7 +120,7 @@
     }
 }
 
-void RelayGateway::takeDatagram(std::string_view datagram)
+void RelayGateway::handleDatagram(std::string_view datagram)
 {
     const auto now = steadyNow();
     const auto message = Peers::decodeValue<GossipMessage>(datagram);
@@ -137,7 +137,7 @@
 
         void operator()(const Fleet::Heartbeat &heartbeat) const
         {
-            gateway.takeHeartbeat(heartbeat, now);
+            gateway.handleHeartbeat(heartbeat, now);
         }
         void operator()(const Dispatch::PromptNotices &notices) const
         {
@@ -147,7 +147,7 @@
     std::visit(Visitor{*this, now}, *message);
 }
 
-void RelayGateway::takeHeartbeat(const Fleet::Heartbeat &heartbeat, Common::Time now)
+void RelayGateway::handleHeartbeat(const Fleet::Heartbeat &heartbeat, Common::Time now)
 {
     sendAll(roster_.receive(heartbeat, now));
     const auto &sender = heartbeat.self;
@@ -156,14 +156,14 @@
     }
     if (sender.region == settings_.region) {
         if (const auto share = Peers::decodeValue<Dispatch::RegionShare>(heartbeat.share)) {
-            carryOut(scheduler_.setRegionShare(sender.id, *share, now), now);
+            applyEffects(scheduler_.setRegionShare(sender.id, *share, now), now);
         }
     } else if (const auto share = Peers::decodeValue<Dispatch::WorldShare>(heartbeat.share)) {
         scheduler_.setWorldShare(sender.region, sender.id, *share, now);
     }
 }
 
-void RelayGateway::tellNeighbours()
+void RelayGateway::sendPromptNotices()
 {
     const auto notices = scheduler_.takeNotices();
     if (notices.prompts.empty()) {
@@ -182,7 +182,7 @@
     knownPeers_ = roster_.peers(now);
     std::vector<Common::InstanceId> own = {settings_.instance};
     std::set<Common::RegionName> reachable;
-    std::size_t all = 1;
+    std::size_t aliveCount = 1;
     for (const auto &peer : knownPeers_) {
         auto &wasAlive = peerAlive_.try_emplace(peer.record.id, false).first->second;
         if (wasAlive != peer.alive) {
@@ -191,16 +191,16 @@
             line.add("peer", peer.record.id).add("region", peer.record.region);
             log_.write(line, now);
         }
-        all += peer.alive ? 1 : 0;
+        aliveCount += peer.alive ? 1 : 0;
         if (peer.alive && peer.record.region == settings_.region) {
             own.push_back(peer.record.id);
         }
-        const bool takesWork = peer.reachable && peer.record.ready && !peer.record.leaving;
-        if (takesWork && peer.record.region != settings_.region) {
+        const bool acceptsRequests = peer.reachable && peer.record.ready && !peer.record.leaving;
+        if (acceptsRequests && peer.record.region != settings_.region) {
             reachable.insert(peer.record.region);
         }
     }
-    scheduler_.setFleet(own, all, {reachable.begin(), reachable.end()});
+    scheduler_.setFleet(own, aliveCount, {reachable.begin(), reachable.end()});
     const auto bound = std::min(settings_.bounds.endpointDrain, settings_.bounds.configuration);
     const auto duty = Fleet::watchDuty(roster_.self(), knownPeers_, Fleet::watchOptionsFor(bound));
     if (duty != duty_) {
@@ -214,7 +214,7 @@
     }
 }
 
-std::optional<Fleet::InstanceRecord> RelayGateway::peerIn(const Common::RegionName &region)
+std::optional<Fleet::InstanceRecord> RelayGateway::findPeerIn(const Common::RegionName &region)
 {
     std::vector<const Fleet::InstanceRecord *> candidates;
     for (const auto &peer : knownPeers_) {
--- a/Source/Core/Relay/RelayRequests.cpp
+++ b/Source/Core/Relay/RelayRequests.cpp
@@ -21,15 +21,15 @@
 constexpr milliseconds StoppingRetryAfter{50};
 /// Part of the memory that bodies of requests may take; the rest is for the program, its
 /// connections and answers on their way.
-constexpr double BodyMemoryShare = 0.35;
+constexpr double BodyMemoryFraction = 0.35;
 
 } // namespace
 
 // Requests.
 
-void RelayGateway::refuse(const Connection &connection, unsigned status,
-                          const std::string &requestId, const std::string &detail,
-                          std::optional<milliseconds> retryAfter)
+void RelayGateway::rejectRequest(const Connection &connection, unsigned status,
+                                 const std::string &requestId, const std::string &detail,
+                                 std::optional<milliseconds> retryAfter)
 {
     const auto now = steadyNow();
     EventLine line("refused");
@@ -41,16 +41,17 @@
     log_.write(line, now);
     auto headers = Platform::ownAnswerHeaders(requestId, retryAfter);
     headers.push_back({"Content-Type", "text/plain"});
-    connection->answer(status, std::move(headers), detail);
+    connection->respond(status, std::move(headers), detail);
 }
 
-bool RelayGateway::tooMuchInMemory(const InboundRequest &request) const
+bool RelayGateway::exceedsBodyMemory(const InboundRequest &request) const
 {
     std::size_t held = request.body->size();
     for (const auto &[id, call] : calls_) {
         held += call->plan().body->size();
     }
-    return static_cast<double>(held) > static_cast<double>(settings_.memoryBytes) * BodyMemoryShare;
+    return static_cast<double>(held)
+           > static_cast<double>(settings_.memoryBytes) * BodyMemoryFraction;
 }
 
 void RelayGateway::serveCaller(const Connection &connection, InboundRequest request)
@@ -58,35 +59,35 @@
     const auto now = steadyNow();
     auto head = Platform::readCallerHead(request.headers);
     if (!head) {
-        refuse(connection, BadRequest, "", head.error().message, std::nullopt);
+        rejectRequest(connection, BadRequest, "", head.error().message, std::nullopt);
         return;
     }
-    if (shutdownStep(now).refuseRequests) {
-        refuse(connection, ServiceUnavailable, head->requestId, "this instance stops",
-               StoppingRetryAfter);
+    if (shutdownStep(now).rejectRequests) {
+        rejectRequest(connection, ServiceUnavailable, head->requestId, "this instance stops",
+                      StoppingRetryAfter);
         return;
     }
     const auto routes = catalog_.routes();
     if (!routes) {
-        refuse(connection, ServiceUnavailable, head->requestId, "no configuration is known yet",
-               UnknownConfigurationRetryAfter);
+        rejectRequest(connection, ServiceUnavailable, head->requestId,
+                      "no configuration is known yet", UnknownConfigurationRetryAfter);
         return;
     }
     const auto *host = Common::findHeader(request.headers, "Host");
     const auto *route = host != nullptr ? routes->find(*host, request.target) : nullptr;
-    if (route == nullptr && !catalogFresh(now)) {
+    if (route == nullptr && !isCatalogFresh(now)) {
         // The route may have been added since the store was last heard.
-        refuse(connection, ServiceUnavailable, head->requestId, "the configuration may be old",
-               UnknownConfigurationRetryAfter);
+        rejectRequest(connection, ServiceUnavailable, head->requestId,
+                      "the configuration may be old", UnknownConfigurationRetryAfter);
         return;
     }
     if (route == nullptr) {
-        refuse(connection, NotFound, head->requestId, "no route to this path", std::nullopt);
+        rejectRequest(connection, NotFound, head->requestId, "no route to this path", std::nullopt);
         return;
     }
-    if (tooMuchInMemory(request)) {
-        refuse(connection, ServiceUnavailable, head->requestId, "too many requests in memory",
-               MemoryRetryAfter);
+    if (exceedsBodyMemory(request)) {
+        rejectRequest(connection, ServiceUnavailable, head->requestId,
+                      "too many requests in memory", MemoryRetryAfter);
         return;
     }
     relayMetrics_.requests.add();
@@ -98,8 +99,8 @@
     facts.priority = route->priority;
     facts.arrivedAt = now;
     facts.objectiveAt = now + route->objective;
-    const auto patience = head->deadline.value_or(route->timeout);
-    facts.deadline = now + std::min(patience, route->timeout);
+    const auto callerTimeout = head->deadline.value_or(route->timeout);
+    facts.deadline = now + std::min(callerTimeout, route->timeout);
     facts.parts = head->promptParts;
     facts.promptTokens = head->promptTokens;
     facts.outputTokens = head->expectedOutputTokens.value_or(head->maxOutputTokens);
@@ -109,22 +110,22 @@
         Common::stableHash(*request.body, Common::stableHash(connection->remoteIp() + request.method
                                                              + " " + request.target));
     plan.head = std::move(*head);
-    plan.headers = endToEnd(request.headers);
+    plan.headers = endToEndHeaders(request.headers);
     plan.method = std::move(request.method);
     plan.target = std::move(request.target);
     plan.body = std::move(request.body);
     plan.resumable = route->resumable;
     plan.gap = route->gap;
-    begin(std::move(plan), connection);
+    beginCall(std::move(plan), connection);
 }
 
-Common::Result<RelayPlan> RelayGateway::planForwarded(const InboundRequest &request,
-                                                      const std::string &noteText,
-                                                      Common::Time now) const
+Common::Result<RelayPlan> RelayGateway::parseForwarded(const InboundRequest &request,
+                                                       const std::string &metadataText,
+                                                       Common::Time now) const
 {
-    const auto note = decodeNote(noteText);
-    if (!note) {
-        return tl::unexpected(note.error());
+    const auto metadata = decodeForwardMetadata(metadataText);
+    if (!metadata) {
+        return tl::unexpected(metadata.error());
     }
     auto head = Platform::readCallerHead(request.headers);
     if (!head) {
@@ -132,24 +133,24 @@
     }
     RelayPlan plan;
     auto &facts = plan.facts;
-    facts.service = Common::ServiceName(note->service);
-    facts.kind = static_cast<Dispatch::RequestKind>(note->kind);
+    facts.service = Common::ServiceName(metadata->service);
+    facts.kind = static_cast<Dispatch::RequestKind>(metadata->kind);
     facts.repeatable = facts.kind == Dispatch::RequestKind::Idempotent
-                       || (facts.kind == Dispatch::RequestKind::Stream && note->resumable);
-    facts.priority = note->priority;
-    facts.objectiveAt = now + milliseconds(note->objectiveLeftMs);
-    facts.arrivedAt = facts.objectiveAt - milliseconds(note->objectiveMs);
-    facts.deadline = now + milliseconds(note->deadlineLeftMs);
+                       || (facts.kind == Dispatch::RequestKind::Stream && metadata->resumable);
+    facts.priority = metadata->priority;
+    facts.objectiveAt = now + milliseconds(metadata->objectiveLeftMs);
+    facts.arrivedAt = facts.objectiveAt - milliseconds(metadata->objectiveMs);
+    facts.deadline = now + milliseconds(metadata->deadlineLeftMs);
     facts.parts = head->promptParts;
     facts.promptTokens = head->promptTokens;
     facts.outputTokens = head->expectedOutputTokens.value_or(head->maxOutputTokens);
     facts.forwarded = true;
-    facts.attempts = note->attempts;
-    facts.fingerprint = note->fingerprint;
+    facts.attempts = metadata->attempts;
+    facts.fingerprint = metadata->fingerprint;
     plan.head = std::move(*head);
-    plan.resumable = note->resumable;
-    if (note->gapMs > 0) {
-        plan.gap = milliseconds(note->gapMs);
+    plan.resumable = metadata->resumable;
+    if (metadata->gapMs > 0) {
+        plan.gap = milliseconds(metadata->gapMs);
     }
     plan.fromPeer = true;
     return plan;
@@ -158,24 +159,25 @@
 void RelayGateway::servePeer(const Connection &connection, InboundRequest request)
 {
     const auto now = steadyNow();
-    if (const auto known = readItemsTarget(request.target)) {
+    if (const auto known = parseItemsTarget(request.target)) {
         serveItems(connection, *known);
         return;
     }
     if (request.target == CachesPath) {
-        serveCaches(connection);
+        servePrefixCaches(connection);
         return;
     }
-    const auto *note = Common::findHeader(request.headers, ForwardHeader);
-    auto plan = note != nullptr ? planForwarded(request, *note, now)
-                                : Common::Result<RelayPlan>(Common::makeError(
-                                    Common::ErrorCode::InvalidArgument, "not a forwarded request"));
+    const auto *metadata = Common::findHeader(request.headers, ForwardHeader);
+    auto plan = metadata != nullptr
+                    ? parseForwarded(request, *metadata, now)
+                    : Common::Result<RelayPlan>(Common::makeError(
+                        Common::ErrorCode::InvalidArgument, "not a forwarded request"));
     if (!plan) {
-        refuse(connection, BadRequest, "", plan.error().message, std::nullopt);
+        rejectRequest(connection, BadRequest, "", plan.error().message, std::nullopt);
         return;
     }
     relayMetrics_.forwardedIn.add();
-    auto headers = endToEnd(request.headers);
+    auto headers = endToEndHeaders(request.headers);
     std::erase_if(headers, [](const Common::Header &header) {
         return Common::sameHeaderName(header.name, ForwardHeader);
     });
@@ -183,23 +185,23 @@
     plan->method = std::move(request.method);
     plan->target = std::move(request.target);
     plan->body = std::move(request.body);
-    begin(std::move(*plan), connection);
+    beginCall(std::move(*plan), connection);
 }
 
-void RelayGateway::begin(RelayPlan plan, const Connection &connection)
+void RelayGateway::beginCall(RelayPlan plan, const Connection &connection)
 {
-    plan.facts.id = nextCall_++;
+    plan.facts.id = nextCallId_++;
     const auto call = std::make_shared<RelayedCall>(*this, std::move(plan), connection);
     calls_[call->plan().facts.id] = call;
     call->start(steadyNow());
 }
 
-void RelayGateway::forget(Dispatch::CallId call)
+void RelayGateway::removeCall(Dispatch::CallId call)
 {
     calls_.erase(call);
 }
 
-void RelayGateway::carryOut(const Dispatch::Effects &effects, Common::Time now)
+void RelayGateway::applyEffects(const Dispatch::Effects &effects, Common::Time now)
 {
     const auto callOf = [this](Dispatch::CallId id) {
         const auto found = calls_.find(id);
@@ -228,7 +230,7 @@
         }
         void operator()(const Dispatch::TakeBack &) const
         {
-            call->takeBack(now);
+            call->abandonSilentAttempt(now);
         }
     };
     for (const auto &effect : effects) {
@@ -239,7 +241,7 @@
     }
     // At once: until they hear of it, others take the engine that was just sent a long prompt for
     // the least busy one.
-    tellNeighbours();
+    sendPromptNotices();
 }
 
 } // namespace LaburnumChute::Relay
--- a/Source/Core/Relay/RelayServers.cpp
+++ b/Source/Core/Relay/RelayServers.cpp
@@ -27,19 +27,19 @@
 
 void RelayGateway::serveItems(const Connection &connection, Catalog::Revision known)
 {
-    connection->answer(Ok, {{"Content-Type", "application/octet-stream"}},
-                       Peers::encodeValue(catalog_.items().since(known)));
+    connection->respond(Ok, {{"Content-Type", "application/octet-stream"}},
+                        Peers::encodeValue(catalog_.items().since(known)));
 }
 
-void RelayGateway::serveCaches(const Connection &connection)
+void RelayGateway::servePrefixCaches(const Connection &connection)
 {
-    connection->answer(Ok, {{"Content-Type", "application/octet-stream"}},
-                       Peers::encodeValue(scheduler_.caches()));
+    connection->respond(Ok, {{"Content-Type", "application/octet-stream"}},
+                        Peers::encodeValue(scheduler_.caches()));
 }
 
-void RelayGateway::learnCaches(Common::Time now)
+void RelayGateway::queryPrefixCaches(Common::Time now)
 {
-    cachesLearnt_ = true;
+    cachesQueried_ = true;
     for (const auto &record : scheduler_.enginesToAsk()) {
         fetch_.get(
             record.address, Platform::cacheListTarget(), CacheTimeout,
@@ -81,21 +81,21 @@
 void RelayGateway::serveReadiness(const Connection &connection, const InboundRequest &request)
 {
     if (!Platform::isReadinessCall(request.method, request.target)) {
-        connection->answer(NotFound, {}, "");
+        connection->respond(NotFound, {}, "");
         return;
     }
-    connection->answer(ready() ? Ok : ServiceUnavailable, {}, "");
+    connection->respond(ready() ? Ok : ServiceUnavailable, {}, "");
 }
 
 void RelayGateway::serveDirectory(const Connection &connection, const InboundRequest &request)
 {
     if (!Platform::isDirectoryCall(request.method, request.target)) {
-        connection->answer(NotFound, {}, "");
+        connection->respond(NotFound, {}, "");
         return;
     }
     const auto query = Platform::readDirectoryQuery(request.target);
     if (!query) {
-        refuse(connection, BadRequest, "", query.error().message, std::nullopt);
+        rejectRequest(connection, BadRequest, "", query.error().message, std::nullopt);
         return;
     }
     std::vector<DirectoryCandidate> candidates;
@@ -121,12 +121,12 @@
     const auto addresses =
         chooseAddresses(candidates, query->region, homes, Platform::DirectoryAddressLimit);
     if (addresses.empty()) {
-        connection->answer(ServiceUnavailable, {}, "no instance is ready");
+        connection->respond(ServiceUnavailable, {}, "no instance is ready");
         return;
     }
     const auto lifetime = std::min(DirectoryLifetime, settings_.bounds.directoryLifetime);
-    connection->answer(Ok, {{"Content-Type", "application/json"}},
-                       Platform::directoryAnswer(addresses, lifetime));
+    connection->respond(Ok, {{"Content-Type", "application/json"}},
+                        Platform::directoryAnswer(addresses, lifetime));
 }
 
 nlohmann::json RelayGateway::dump(Common::Time now) const
@@ -155,15 +155,15 @@
 {
     const auto path = Catalog::pathOf(request.target);
     if (path == MetricsPath) {
-        connection->answer(Ok, {{"Content-Type", "text/plain; version=0.0.4"}},
-                           registry_.prometheusText());
+        connection->respond(Ok, {{"Content-Type", "text/plain; version=0.0.4"}},
+                            registry_.prometheusText());
         return;
     }
     if (path == DumpPath) {
-        connection->answer(Ok, {{"Content-Type", "application/json"}}, dump(steadyNow()).dump(2));
+        connection->respond(Ok, {{"Content-Type", "application/json"}}, dump(steadyNow()).dump(2));
         return;
     }
-    connection->answer(NotFound, {}, "");
+    connection->respond(NotFound, {}, "");
 }
 
 } // namespace LaburnumChute::Relay
--- a/Source/Core/Relay/RelayedCall.cpp
+++ b/Source/Core/Relay/RelayedCall.cpp
@@ -23,25 +23,25 @@
 /// A request that may run only once goes on a connection that was in use this recently: an endpoint
 /// closes idle ones after a second at the least, and one that closes under the write leaves nobody
 /// knowing whether it has run.
-constexpr milliseconds OnceConnectionAge{400};
-constexpr milliseconds AnyConnectionAge{20000};
+constexpr milliseconds NonRepeatableMaxIdle{400};
+constexpr milliseconds RepeatableMaxIdle{20000};
 /// Instances keep idle connections between them for at least the callers' idle timeout.
-constexpr milliseconds PeerConnectionKeep{10000};
+constexpr milliseconds PeerIdleTimeout{10000};
 constexpr milliseconds PeerConnectTimeout{700};
 /// Bytes that a slow caller may leave with this process before its endpoint is read no further.
-constexpr std::size_t SlowCallerBytes = 128 * 1024;
+constexpr std::size_t MaxUnsentBytes = 128 * 1024;
 /// Answers of plain services are kept whole up to this size.
-constexpr std::size_t WholeAnswerLimit = 8u << 20;
+constexpr std::size_t MaxBufferedResponseBytes = 8u << 20;
 /// A stream that pauses for so many of its usual longest pauses has stalled.
-constexpr int StallGaps = 3;
-constexpr milliseconds StallFloor{1000};
+constexpr int StallGapFactor = 3;
+constexpr milliseconds MinStallTime{1000};
 constexpr milliseconds TimeoutRetryAfter{700};
 /// The endpoint's default urgency is 5; what is less urgent than most goes behind it.
-constexpr int UrgencyOfHighest = 3;
-constexpr int LeastUrgent = 9;
+constexpr int HighestPriorityUrgency = 3;
+constexpr int LowestUrgency = 9;
 
 /// Statuses that promise that a request has not run.
-bool promisesNotRun(unsigned status)
+bool meansNotRun(unsigned status)
 {
     return status == 408 || status == 421 || status == 429 || status == 503;
 }
@@ -70,12 +70,12 @@
 
 void RelayedCall::start(Common::Time now)
 {
-    connection_->onGone([weak = weak_from_this()] {
+    connection_->onDisconnect([weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
-            self->callerGone();
+            self->handleCallerDisconnect();
         }
     });
-    gateway_.carryOut(gateway_.scheduler().submit(plan_.facts, now), now);
+    gateway_.applyEffects(gateway_.scheduler().submit(plan_.facts, now), now);
 }
 
 milliseconds RelayedCall::timeLeft(Common::Time now) const
@@ -84,9 +84,9 @@
     return std::max(milliseconds(1), left);
 }
 
-Common::Duration RelayedCall::connectionAge() const
+Common::Duration RelayedCall::maxConnectionIdle() const
 {
-    return plan_.facts.repeatable ? AnyConnectionAge : OnceConnectionAge;
+    return plan_.facts.repeatable ? RepeatableMaxIdle : NonRepeatableMaxIdle;
 }
 
 OutboundRequest RelayedCall::outboundRequest(const std::string &address,
@@ -101,7 +101,7 @@
     request.head = requestHead(plan_.method, plan_.target, framed);
     request.body = plan_.body;
     request.isHeadMethod = plan_.method == "HEAD";
-    request.maxIdle = connectionAge();
+    request.maxIdle = maxConnectionIdle();
     return request;
 }
 
@@ -111,8 +111,8 @@
     if (call_) {
         call_->cancel();
     }
-    mode_ = Mode::None;
-    kept_ = {};
+    responseMode_ = ResponseMode::None;
+    response_ = {};
     cutter_.restart();
     sentAt_ = now;
     lastEventAt_ = now;
@@ -120,11 +120,11 @@
     CallEvents events;
     // The endpoint may start leaving or be evacuated while the connection is being established.
     events.maySend = [this] { return gateway_.scheduler().maySend(plan_.facts.id); };
-    events.head = [this](const AnswerHead &head) { return takeHead(head); };
-    events.body = [this](const std::string &bytes) { takeBody(bytes); };
-    events.end = [this] { takeEnd(); };
+    events.head = [this](const ResponseHead &head) { return handleHead(head); };
+    events.body = [this](const std::string &bytes) { handleBody(bytes); };
+    events.end = [this] { handleEnd(); };
     events.failed = [this](CallFailure failure, const std::string &reason) {
-        takeFailure(failure, reason);
+        handleFailure(failure, reason);
     };
     call_ = std::make_shared<OutboundCall>(gateway_.pool(), std::move(request), std::move(events));
     call_->start(now);
@@ -134,22 +134,22 @@
 /// given up: the close stands behind the request in the same socket. Sent on, they would take
 /// places from requests that are still wanted, just when there are too few. Endpoints see requests
 /// that are cancelled as soon as they begin.
-bool RelayedCall::endedAsCallerLeft(Common::Time now)
+bool RelayedCall::abandonIfCallerLeft(Common::Time now)
 {
-    if (!connection_->otherSideLeft()) {
+    if (!connection_->remoteClosed()) {
         return false;
     }
     const auto self = shared_from_this();
-    callerGone_ = true;
+    callerDisconnected_ = true;
     gateway_.metrics().abandoned.add();
     gateway_.scheduler().withdraw(plan_.facts.id, now);
-    endTry(TryOutcome::Cancelled, false, now);
+    endAttempt(TryOutcome::Cancelled, false, now);
     return true;
 }
 
 void RelayedCall::send(const Dispatch::Send &effect, Common::Time now)
 {
-    if (endedAsCallerLeft(now)) {
+    if (abandonIfCallerLeft(now)) {
         return;
     }
     gateway_.metrics().sends.add();
@@ -160,9 +160,9 @@
     order.requestId = plan_.head.requestId;
     order.deadline = timeLeft(now);
     order.endpoint = effect.endpoint;
-    order.urgency = std::min(LeastUrgent, UrgencyOfHighest + plan_.facts.priority);
+    order.urgency = std::min(LowestUrgency, HighestPriorityUrgency + plan_.facts.priority);
     order.copyCacheFrom = effect.copyCacheFrom;
-    if (started_) {
+    if (streamStarted_) {
         order.lastEventId = cutter_.lastId();
     }
     EventLine line("send");
@@ -177,7 +177,7 @@
         .add("others_there", static_cast<std::int64_t>(std::lround(effect.others)))
         .add("assumed_there", static_cast<std::int64_t>(std::lround(effect.assumed)))
         .add("copies_cache", effect.copyCacheFrom.has_value())
-        .add("resumes", started_);
+        .add("resumes", streamStarted_);
     gateway_.log().write(line, now);
     startCall(outboundRequest(effect.address, Platform::endpointHeaders(plan_.headers, order), now),
               now);
@@ -185,10 +185,10 @@
 
 void RelayedCall::forward(const Dispatch::Forward &effect, Common::Time now)
 {
-    if (endedAsCallerLeft(now)) {
+    if (abandonIfCallerLeft(now)) {
         return;
     }
-    const auto peer = gateway_.peerIn(effect.region);
+    const auto peer = gateway_.findPeerIn(effect.region);
     EventLine line("forward");
     line.add("request", plan_.head.requestId)
         .add("region", effect.region)
@@ -197,51 +197,51 @@
     gateway_.log().write(line, now);
     if (!peer) {
         lastReason_ = "no instance of " + effect.region.text() + " can be reached";
-        endTry(TryOutcome::NotConnected, true, now);
+        endAttempt(TryOutcome::NotConnected, true, now);
         return;
     }
     gateway_.metrics().forwards.add();
     endpoint_ = Common::EndpointId();
     peer_ = peer->id;
-    ForwardMetadata note;
+    ForwardMetadata metadata;
     const auto &facts = plan_.facts;
     const auto inMilliseconds = [](Common::Duration duration) {
         return std::chrono::duration_cast<milliseconds>(duration).count();
     };
-    note.service = facts.service.text();
-    note.kind = static_cast<std::uint8_t>(facts.kind);
-    note.resumable = plan_.resumable;
-    note.priority = facts.priority;
-    note.attempts = effect.attempts;
-    note.objectiveLeftMs = inMilliseconds(facts.objectiveAt - now);
-    note.objectiveMs = inMilliseconds(facts.objectiveAt - facts.arrivedAt);
-    note.deadlineLeftMs = timeLeft(now).count();
-    note.gapMs = plan_.gap ? plan_.gap->count() : 0;
-    note.fingerprint = facts.fingerprint;
-    note.fromRegion = gateway_.settings().region.text();
+    metadata.service = facts.service.text();
+    metadata.kind = static_cast<std::uint8_t>(facts.kind);
+    metadata.resumable = plan_.resumable;
+    metadata.priority = facts.priority;
+    metadata.attempts = effect.attempts;
+    metadata.objectiveLeftMs = inMilliseconds(facts.objectiveAt - now);
+    metadata.objectiveMs = inMilliseconds(facts.objectiveAt - facts.arrivedAt);
+    metadata.deadlineLeftMs = timeLeft(now).count();
+    metadata.gapMs = plan_.gap ? plan_.gap->count() : 0;
+    metadata.fingerprint = facts.fingerprint;
+    metadata.fromRegion = gateway_.settings().region.text();
     auto headers = plan_.headers;
-    headers.push_back({ForwardHeader, encodeNote(note)});
-    if (started_) {
+    headers.push_back({ForwardHeader, encodeForwardMetadata(metadata)});
+    if (streamStarted_) {
         headers = Platform::resumedHeaders(headers, cutter_.lastId().value_or(""));
     }
     auto request = outboundRequest(peer->peerAddress, headers, now);
-    request.maxIdle = PeerConnectionKeep;
-    request.assumedKeep = PeerConnectionKeep;
+    request.maxIdle = PeerIdleTimeout;
+    request.assumedIdleTimeout = PeerIdleTimeout;
     request.connectTimeout = PeerConnectTimeout;
     startCall(std::move(request), now);
 }
 
 bool RelayedCall::isSuccess() const
 {
-    return kept_.status >= FirstSuccess && kept_.status < FirstRedirect;
+    return response_.status >= FirstSuccess && response_.status < FirstRedirect;
 }
 
 /// What another instance says of a request that it has not answered.
-void RelayedCall::readPeerState(const AnswerHead &head)
+void RelayedCall::readPeerState(const ResponseHead &head)
 {
     const auto *state = Common::findHeader(head.headers, RunStateHeader);
     if (!peer_.empty() && state != nullptr) {
-        mode_ = *state == RunStateNotRun ? Mode::NotRun : Mode::Unknown;
+        responseMode_ = *state == RunStateNotRun ? ResponseMode::NotRun : ResponseMode::Unknown;
     }
 }
 
@@ -264,7 +264,7 @@
     gateway_.log().write(line, now);
 }
 
-bool RelayedCall::takeHead(const AnswerHead &head)
+bool RelayedCall::handleHead(const ResponseHead &head)
 {
     const auto self = shared_from_this();
     const auto facts = Platform::readAnswer(head.status, head.headers);
@@ -282,14 +282,14 @@
     }
     limitPerSecond_ = facts.limitPerSecond;
     recordLimit(facts, now);
-    kept_.status = head.status;
-    kept_.headers = Platform::callerHeaders(endToEnd(head.headers));
+    response_.status = head.status;
+    response_.headers = Platform::callerHeaders(endToEndHeaders(head.headers));
     readPeerState(head);
-    if (mode_ != Mode::None) {
+    if (responseMode_ != ResponseMode::None) {
         return true;
     }
     if (facts.notRun && peer_.empty()) {
-        mode_ = Mode::NotRun;
+        responseMode_ = ResponseMode::NotRun;
         lastReason_ = facts.wrongEndpoint ? "another endpoint has the address"
                                           : fmt::format("refused with {}", head.status);
         return true;
@@ -297,42 +297,42 @@
     if (isSuccess() && (!facts.sealed || facts.requestId.empty())) {
         // Nobody vouches for such an answer; bytes of a faulty endpoint may look like one.
         call_->cancel();
-        takeFailure(CallFailure::Broken, "a success without the endpoint's signature");
+        handleFailure(CallFailure::Broken, "a success without the endpoint's signature");
         return true;
     }
     const bool stream = plan_.facts.kind == Dispatch::RequestKind::Stream && isSuccess();
-    mode_ = stream ? Mode::Events : Mode::Whole;
+    responseMode_ = stream ? ResponseMode::Streamed : ResponseMode::Buffered;
     if (!stream) {
-        answering_ = true;
+        responding_ = true;
         gateway_.scheduler().answering(plan_.facts.id, now);
     }
     return true;
 }
 
-void RelayedCall::takeBody(const std::string &bytes)
+void RelayedCall::handleBody(const std::string &bytes)
 {
     const auto self = shared_from_this();
-    if (mode_ == Mode::Events) {
+    if (responseMode_ == ResponseMode::Streamed) {
         const auto events = cutter_.feed(bytes);
         if (!events.empty()) {
-            passEvents(events);
+            passOnEvents(events);
         }
         return;
     }
-    kept_.body += bytes;
-    if (kept_.body.size() > WholeAnswerLimit) {
+    response_.body += bytes;
+    if (response_.body.size() > MaxBufferedResponseBytes) {
         call_->cancel();
-        takeFailure(CallFailure::Broken, "the answer is too large");
+        handleFailure(CallFailure::Broken, "the answer is too large");
     }
 }
 
-void RelayedCall::passEvents(const std::string &events)
+void RelayedCall::passOnEvents(const std::string &events)
 {
     const auto now = steadyNow();
-    const int more = cutter_.events() - eventsPassed_;
-    eventsPassed_ = cutter_.events();
-    if (answering_) {
-        gateway_.scheduler().progressed(plan_.facts.id, more, now - lastEventAt_, now);
+    const int newEvents = cutter_.events() - eventsPassedOn_;
+    eventsPassedOn_ = cutter_.events();
+    if (responding_) {
+        gateway_.scheduler().progressed(plan_.facts.id, newEvents, now - lastEventAt_, now);
     }
     if (firstEventAfter_) {
         longestPause_ = std::max(longestPause_, now - lastEventAt_);
@@ -340,17 +340,17 @@
         firstEventAfter_ = now - plan_.facts.arrivedAt;
     }
     lastEventAt_ = now;
-    if (!answering_) {
-        answering_ = true;
+    if (!responding_) {
+        responding_ = true;
         gateway_.scheduler().answering(plan_.facts.id, now);
         gateway_.metrics().firstEvent.record(now - plan_.facts.arrivedAt);
     }
-    if (!started_) {
-        started_ = true;
-        connection_->beginPieces(kept_.status, kept_.headers);
+    if (!streamStarted_) {
+        streamStarted_ = true;
+        connection_->beginStream(response_.status, response_.headers);
     }
-    connection_->piece(events);
-    if (connection_->unsent() > SlowCallerBytes) {
+    connection_->sendPart(events);
+    if (connection_->unsentBytes() > MaxUnsentBytes) {
         call_->pause(true);
         connection_->onDrained([weak = weak_from_this()] {
             const auto self = weak.lock();
@@ -361,46 +361,46 @@
     }
 }
 
-void RelayedCall::takeEnd()
+void RelayedCall::handleEnd()
 {
     const auto self = shared_from_this();
     const auto now = steadyNow();
-    switch (mode_) {
-    case Mode::None:
-    case Mode::NotRun:
-        endTry(TryOutcome::NotRun, true, now);
+    switch (responseMode_) {
+    case ResponseMode::None:
+    case ResponseMode::NotRun:
+        endAttempt(TryOutcome::NotRun, true, now);
         return;
-    case Mode::Unknown:
+    case ResponseMode::Unknown:
         lastReason_ = "the other instance does not know what became of it";
-        endTry(TryOutcome::Broken, !started_ || plan_.resumable, now);
+        endAttempt(TryOutcome::Broken, !streamStarted_ || plan_.resumable, now);
         return;
-    case Mode::Events: {
-        const auto rest = cutter_.takeRest();
-        if (!rest.empty() || !started_) {
-            passEvents(rest);
+    case ResponseMode::Streamed: {
+        const auto rest = cutter_.takeRemainder();
+        if (!rest.empty() || !streamStarted_) {
+            passOnEvents(rest);
         }
-        connection_->endPieces();
+        connection_->endStream();
         gateway_.metrics().completed.add();
-        endTry(TryOutcome::Completed, false, now);
+        endAttempt(TryOutcome::Completed, false, now);
         finish("completed");
         return;
     }
-    case Mode::Whole:
+    case ResponseMode::Buffered:
         break;
     }
-    if (kept_.status < FirstServerError && !promisesNotRun(kept_.status)) {
+    if (response_.status < FirstServerError && !meansNotRun(response_.status)) {
         gateway_.metrics().completed.add();
-        answerKept();
-        endTry(TryOutcome::Completed, false, now);
+        sendKeptResponse();
+        endAttempt(TryOutcome::Completed, false, now);
         finish("completed");
         return;
     }
-    lastReason_ = fmt::format("the endpoint answered {}", kept_.status);
-    spare_ = std::move(kept_);
-    endTry(TryOutcome::Error, !started_ || plan_.resumable, now);
+    lastReason_ = fmt::format("the endpoint answered {}", response_.status);
+    lastErrorResponse_ = std::move(response_);
+    endAttempt(TryOutcome::Error, !streamStarted_ || plan_.resumable, now);
 }
 
-void RelayedCall::takeFailure(CallFailure failure, const std::string &reason)
+void RelayedCall::handleFailure(CallFailure failure, const std::string &reason)
 {
     const auto self = shared_from_this();
     const auto now = steadyNow();
@@ -412,31 +412,31 @@
         .add("reason", reason)
         .add("after", now - sentAt_)
         .add("sent", failure == CallFailure::Broken)
-        .add("events_passed", started_);
+        .add("events_passed", streamStarted_);
     gateway_.log().write(line, now);
     if (failure == CallFailure::NotConnected) {
-        endTry(TryOutcome::NotConnected, !started_ || plan_.resumable, now);
+        endAttempt(TryOutcome::NotConnected, !streamStarted_ || plan_.resumable, now);
         return;
     }
-    endTry(TryOutcome::Broken, !started_ || plan_.resumable, now);
+    endAttempt(TryOutcome::Broken, !streamStarted_ || plan_.resumable, now);
 }
 
-void RelayedCall::endTry(TryOutcome outcome, bool mayGoOn, Common::Time now)
+void RelayedCall::endAttempt(TryOutcome outcome, bool mayRetry, Common::Time now)
 {
     const auto self = shared_from_this();
     if (call_) {
         call_->cancel();
         call_.reset();
     }
-    answering_ = false;
-    const auto effects = gateway_.scheduler().ended(plan_.facts.id, outcome, mayGoOn, now);
-    gateway_.carryOut(effects, now);
-    if (callerGone_ && !over_) {
+    responding_ = false;
+    const auto effects = gateway_.scheduler().ended(plan_.facts.id, outcome, mayRetry, now);
+    gateway_.applyEffects(effects, now);
+    if (callerDisconnected_ && !finished_) {
         finish("abandoned");
     }
 }
 
-void RelayedCall::takeBack(Common::Time now)
+void RelayedCall::abandonSilentAttempt(Common::Time now)
 {
     lastReason_ = "the endpoint is silent";
     EventLine line("taken-back");
@@ -445,29 +445,29 @@
         .add("expected", expected_)
         .add("after", now - sentAt_);
     gateway_.log().write(line, now);
-    endTry(TryOutcome::Silent, true, now);
+    endAttempt(TryOutcome::Silent, true, now);
 }
 
-void RelayedCall::answerKept()
+void RelayedCall::sendKeptResponse()
 {
-    connection_->answer(kept_.status, kept_.headers, kept_.body);
+    connection_->respond(response_.status, response_.headers, response_.body);
 }
 
-void RelayedCall::answerOwn(unsigned status, const std::string &detail,
-                            std::optional<milliseconds> retryAfter, bool notRun)
+void RelayedCall::sendOwnResponse(unsigned status, const std::string &detail,
+                                  std::optional<milliseconds> retryAfter, bool notRun)
 {
     auto headers = Platform::ownAnswerHeaders(plan_.head.requestId, retryAfter);
     headers.push_back({"Content-Type", "text/plain"});
     if (plan_.fromPeer) {
         headers.push_back({RunStateHeader, notRun ? RunStateNotRun : RunStateUnknown});
     }
-    connection_->answer(status, std::move(headers), detail);
+    connection_->respond(status, std::move(headers), detail);
 }
 
 void RelayedCall::reject(const Dispatch::Reject &effect, Common::Time now)
 {
     const auto self = shared_from_this();
-    if (started_) {
+    if (streamStarted_) {
         connection_->abort();
         gateway_.metrics().failed.add();
         finish("broken off");
@@ -484,7 +484,8 @@
         .add("retry_after", effect.retryAfter);
     gateway_.log().write(line, now);
     gateway_.metrics().rejected.add();
-    answerOwn(ServiceUnavailable, std::string(Dispatch::toString(effect.reason)), retryAfter, true);
+    sendOwnResponse(ServiceUnavailable, std::string(Dispatch::toString(effect.reason)), retryAfter,
+                    true);
     finish("rejected");
 }
 
@@ -496,40 +497,41 @@
         .add("service", plan_.facts.service)
         .add("endpoint", endpoint_)
         .add("last_try", lastReason_)
-        .add("events_passed", started_)
+        .add("events_passed", streamStarted_)
         .add("waited", now - plan_.facts.arrivedAt);
     gateway_.log().write(line, now);
     gateway_.metrics().failed.add();
-    if (started_) {
+    if (streamStarted_) {
         connection_->abort();
         finish("broken off");
         return;
     }
-    if (spare_ && !promisesNotRun(spare_->status)) {
-        connection_->answer(spare_->status, spare_->headers, spare_->body);
+    if (lastErrorResponse_ && !meansNotRun(lastErrorResponse_->status)) {
+        connection_->respond(lastErrorResponse_->status, lastErrorResponse_->headers,
+                             lastErrorResponse_->body);
         finish("endpoint error");
         return;
     }
-    answerOwn(BadGateway, "the outcome is unknown: " + lastReason_, std::nullopt, false);
+    sendOwnResponse(BadGateway, "the outcome is unknown: " + lastReason_, std::nullopt, false);
     finish("unknown");
 }
 
-void RelayedCall::callerGone()
+void RelayedCall::handleCallerDisconnect()
 {
     const auto self = shared_from_this();
     const auto now = steadyNow();
-    callerGone_ = true;
+    callerDisconnected_ = true;
     gateway_.metrics().abandoned.add();
     gateway_.scheduler().withdraw(plan_.facts.id, now);
     // An order under way is seen through: its caller may ask what became of it.
-    const bool seenThrough = call_ && plan_.facts.kind == Dispatch::RequestKind::AtMostOnce;
-    if (seenThrough) {
+    const bool runsToCompletion = call_ && plan_.facts.kind == Dispatch::RequestKind::AtMostOnce;
+    if (runsToCompletion) {
         return;
     }
     if (call_) {
-        endTry(TryOutcome::Cancelled, false, now);
+        endAttempt(TryOutcome::Cancelled, false, now);
     }
-    if (!over_) {
+    if (!finished_) {
         finish("abandoned");
     }
 }
@@ -542,22 +544,22 @@
         .add("service", plan_.facts.service)
         .add("endpoint", endpoint_)
         .add("sent", everSent_)
-        .add("events_passed", started_)
+        .add("events_passed", streamStarted_)
         .add("waited", now - plan_.facts.arrivedAt);
     gateway_.log().write(line, now);
     gateway_.metrics().timedOut.add();
-    if (started_) {
+    if (streamStarted_) {
         connection_->abort();
     } else if (everSent_) {
-        answerOwn(GatewayTimeout, "no answer in time", std::nullopt, false);
+        sendOwnResponse(GatewayTimeout, "no answer in time", std::nullopt, false);
     } else {
-        answerOwn(ServiceUnavailable, "no place in time", TimeoutRetryAfter, true);
+        sendOwnResponse(ServiceUnavailable, "no place in time", TimeoutRetryAfter, true);
     }
     gateway_.scheduler().withdraw(plan_.facts.id, now);
     if (call_) {
-        endTry(answering_ ? TryOutcome::Cancelled : TryOutcome::Silent, false, now);
+        endAttempt(responding_ ? TryOutcome::Cancelled : TryOutcome::Silent, false, now);
     }
-    if (!over_) {
+    if (!finished_) {
         finish("timed out");
     }
 }
@@ -568,7 +570,7 @@
     if (call_) {
         call_->tick(now);
     }
-    if (over_) {
+    if (finished_) {
         return;
     }
     if (now >= plan_.facts.deadline) {
@@ -576,19 +578,19 @@
         return;
     }
     const auto gap = plan_.gap.value_or(milliseconds(0));
-    const auto stall = std::max<Common::Duration>(StallFloor, gap * StallGaps);
-    const bool stalled = call_ && started_ && plan_.resumable && now - lastEventAt_ > stall;
+    const auto stall = std::max<Common::Duration>(MinStallTime, gap * StallGapFactor);
+    const bool stalled = call_ && streamStarted_ && plan_.resumable && now - lastEventAt_ > stall;
     if (stalled) {
-        takeBack(now);
+        abandonSilentAttempt(now);
     }
 }
 
 void RelayedCall::finish(const char *outcome)
 {
-    if (over_) {
+    if (finished_) {
         return;
     }
-    over_ = true;
+    finished_ = true;
     const auto now = steadyNow();
     EventLine line("request");
     line.add("request", plan_.head.requestId)
@@ -609,7 +611,7 @@
         call_->cancel();
         call_.reset();
     }
-    gateway_.forget(plan_.facts.id);
+    gateway_.removeCall(plan_.facts.id);
 }
 
 } // namespace LaburnumChute::Relay
--- a/Source/Core/Relay/RelayedCall.h
+++ b/Source/Core/Relay/RelayedCall.h
@@ -50,31 +50,31 @@
     void forward(const Dispatch::Forward &effect, Common::Time now);
     void reject(const Dispatch::Reject &effect, Common::Time now);
     void fail(Common::Time now);
-    void takeBack(Common::Time now);
+    void abandonSilentAttempt(Common::Time now);
 
     const RelayPlan &plan() const
     {
         return plan_;
     }
-    bool over() const
+    bool finished() const
     {
-        return over_;
+        return finished_;
     }
 
 private:
     /// How the answer under way is handled.
-    enum class Mode {
+    enum class ResponseMode {
         None,
         /// Passed on event by event.
-        Events,
+        Streamed,
         /// Kept until it is whole.
-        Whole,
+        Buffered,
         /// The endpoint or instance says that it has not run the request.
         NotRun,
         /// Another instance does not know what became of it.
         Unknown,
     };
-    struct KeptAnswer
+    struct KeptResponse
     {
         unsigned status = 0;
         Common::Headers headers;
@@ -83,23 +83,23 @@
 
     OutboundRequest outboundRequest(const std::string &address, const Common::Headers &headers,
                                     Common::Time now) const;
-    Common::Duration connectionAge() const;
+    Common::Duration maxConnectionIdle() const;
     void startCall(OutboundRequest request, Common::Time now);
-    bool takeHead(const AnswerHead &head);
-    void readPeerState(const AnswerHead &head);
+    bool handleHead(const ResponseHead &head);
+    void readPeerState(const ResponseHead &head);
     void recordLimit(const Dialect::AnswerFacts &facts, Common::Time now);
-    void takeBody(const std::string &bytes);
-    void passEvents(const std::string &events);
-    void takeEnd();
-    void takeFailure(CallFailure failure, const std::string &reason);
-    void endTry(Dispatch::TryOutcome outcome, bool mayGoOn, Common::Time now);
+    void handleBody(const std::string &bytes);
+    void passOnEvents(const std::string &events);
+    void handleEnd();
+    void handleFailure(CallFailure failure, const std::string &reason);
+    void endAttempt(Dispatch::TryOutcome outcome, bool mayRetry, Common::Time now);
     bool isSuccess() const;
-    void answerKept();
-    void answerOwn(unsigned status, const std::string &detail,
-                   std::optional<Common::milliseconds> retryAfter, bool notRun);
-    void callerGone();
+    void sendKeptResponse();
+    void sendOwnResponse(unsigned status, const std::string &detail,
+                         std::optional<Common::milliseconds> retryAfter, bool notRun);
+    void handleCallerDisconnect();
     /// Ends the request instead of sending it when its caller has left; true if so.
-    bool endedAsCallerLeft(Common::Time now);
+    bool abandonIfCallerLeft(Common::Time now);
     void timeOut(Common::Time now);
     void finish(const char *outcome);
     Common::milliseconds timeLeft(Common::Time now) const;
@@ -108,10 +108,10 @@
     RelayPlan plan_;
     std::shared_ptr<InboundConnection> connection_;
     std::shared_ptr<OutboundCall> call_;
-    Mode mode_ = Mode::None;
-    KeptAnswer kept_;
+    ResponseMode responseMode_ = ResponseMode::None;
+    KeptResponse response_;
     /// The last answer of an endpoint that another try may still replace.
-    std::optional<KeptAnswer> spare_;
+    std::optional<KeptResponse> lastErrorResponse_;
     EventCutter cutter_;
     Common::EndpointId endpoint_;
     Common::InstanceId peer_;
@@ -120,16 +120,16 @@
     /// From taking the request to the first event passed on, and the longest pause after it.
     std::optional<Common::Duration> firstEventAfter_;
     Common::Duration longestPause_{0};
-    int eventsPassed_ = 0;
+    int eventsPassedOn_ = 0;
     /// Rate limit stated in the last answer of an endpoint.
     std::optional<double> limitPerSecond_;
     Common::Duration expected_{0};
     std::string lastReason_;
-    bool started_ = false;
-    bool answering_ = false;
+    bool streamStarted_ = false;
+    bool responding_ = false;
     bool everSent_ = false;
-    bool callerGone_ = false;
-    bool over_ = false;
+    bool callerDisconnected_ = false;
+    bool finished_ = false;
 };
 
 } // namespace LaburnumChute::Relay
--- a/Source/Core/Relay/ShutdownPlan.cpp
+++ b/Source/Core/Relay/ShutdownPlan.cpp
@@ -13,15 +13,15 @@
 /// caller waits up to eight seconds, and so long is the time to stop. It would lose its answer.
 /// Callers see a connection that broke in the midst of an answer. Refused, they try another
 /// instance.
-constexpr milliseconds RefuseRequestsAfter{2800};
-constexpr milliseconds RefuseConnectionsAfter{3200};
+constexpr milliseconds RejectRequestsAfter{2800};
+constexpr milliseconds RejectConnectionsAfter{3200};
 /// A process that ends while a caller's bytes are unread resets that connection, and an answer that
 /// is still on its way is lost with it: connections get this long to end in order. It is a little
 /// more than the time for which a closing connection is read on.
-constexpr milliseconds ConnectionsEndWithin{1700};
+constexpr milliseconds ConnectionCloseTime{1700};
 /// What is still under way this long before the end by force is cut off here, so that the log says
 /// which requests these were.
-constexpr milliseconds LastAnswersBefore{300};
+constexpr milliseconds ForcedExitMargin{300};
 
 } // namespace
 
@@ -35,13 +35,13 @@
                                 Common::Time now) const
 {
     const auto since = now - requestedAt_;
-    const bool connectionsHadTime = since >= RefuseConnectionsAfter + ConnectionsEndWithin;
-    const bool quiet = requests == 0 && (connections == 0 || connectionsHadTime);
+    const bool closeTimeElapsed = since >= RejectConnectionsAfter + ConnectionCloseTime;
+    const bool idle = requests == 0 && (connections == 0 || closeTimeElapsed);
     ShutdownStep step;
     step.closeConnections = since >= CloseAfter;
-    step.refuseRequests = since >= RefuseRequestsAfter;
-    step.refuseConnections = since >= RefuseConnectionsAfter;
-    step.end = (step.refuseConnections && quiet) || since >= bound_ - LastAnswersBefore;
+    step.rejectRequests = since >= RejectRequestsAfter;
+    step.rejectConnections = since >= RejectConnectionsAfter;
+    step.end = (step.rejectConnections && idle) || since >= bound_ - ForcedExitMargin;
     return step;
 }
 
--- a/Source/Core/Relay/ShutdownPlan.h
+++ b/Source/Core/Relay/ShutdownPlan.h
@@ -12,9 +12,9 @@
     /// Answers close their connections, and idle connections are closed.
     bool closeConnections = false;
     /// Requests that still come are told to go elsewhere.
-    bool refuseRequests = false;
+    bool rejectRequests = false;
     /// No new connection is taken.
-    bool refuseConnections = false;
+    bool rejectConnections = false;
     /// The process ends now.
     bool end = false;
 };
--- a/Source/Core/Relay/SimpleFetch.cpp
+++ b/Source/Core/Relay/SimpleFetch.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Common::milliseconds KeepIdle{5000};
+constexpr Common::milliseconds MaxIdleTime{5000};
 
 } // namespace
 
@@ -17,63 +17,63 @@
 
 SimpleFetch::~SimpleFetch()
 {
-    for (auto &[id, running] : running_) {
-        running.call->cancel();
+    for (auto &[id, pending] : calls_) {
+        pending.call->cancel();
     }
 }
 
 void SimpleFetch::get(const std::string &address, const std::string &target,
-                      Common::milliseconds timeout, Done done, Common::Time now)
+                      Common::milliseconds timeout, CompletionHandler onComplete, Common::Time now)
 {
     const auto id = nextId_++;
     OutboundRequest request;
     request.address = address;
     request.head = requestHead("GET", target, {{"Host", address}});
     request.body = std::make_shared<const std::string>();
-    request.maxIdle = KeepIdle;
+    request.maxIdle = MaxIdleTime;
     CallEvents events;
-    events.head = [this, id](const AnswerHead &head) {
-        running_.at(id).status = head.status;
+    events.head = [this, id](const ResponseHead &head) {
+        calls_.at(id).status = head.status;
         return true;
     };
-    events.body = [this, id](const std::string &bytes) { running_.at(id).body += bytes; };
+    events.body = [this, id](const std::string &bytes) { calls_.at(id).body += bytes; };
     events.end = [this, id] {
-        auto &running = running_.at(id);
-        finish(id, running.status, std::move(running.body));
+        auto &pending = calls_.at(id);
+        finish(id, pending.status, std::move(pending.body));
     };
     events.failed = [this, id](CallFailure, const std::string &reason) { finish(id, 0, reason); };
-    auto &running = running_[id];
-    running.giveUpAt = now + timeout;
-    running.done = std::move(done);
-    running.call = std::make_shared<OutboundCall>(pool_, std::move(request), std::move(events));
-    running.call->start(now);
+    auto &pending = calls_[id];
+    pending.deadline = now + timeout;
+    pending.onComplete = std::move(onComplete);
+    pending.call = std::make_shared<OutboundCall>(pool_, std::move(request), std::move(events));
+    pending.call->start(now);
 }
 
 void SimpleFetch::finish(std::uint64_t id, unsigned status, std::string body)
 {
-    const auto found = running_.find(id);
-    const auto call = found->second.call;
-    const auto done = std::move(found->second.done);
-    running_.erase(found);
+    const auto entry = calls_.find(id);
+    const auto call = entry->second.call;
+    const auto onComplete = std::move(entry->second.onComplete);
+    calls_.erase(entry);
     call->cancel();
-    done(status, std::move(body));
+    onComplete(status, std::move(body));
 }
 
 void SimpleFetch::tick(Common::Time now)
 {
     std::vector<std::shared_ptr<OutboundCall>> calls;
-    std::vector<std::uint64_t> late;
-    for (const auto &[id, running] : running_) {
-        calls.push_back(running.call);
-        if (now >= running.giveUpAt) {
-            late.push_back(id);
+    std::vector<std::uint64_t> expired;
+    for (const auto &[id, pending] : calls_) {
+        calls.push_back(pending.call);
+        if (now >= pending.deadline) {
+            expired.push_back(id);
         }
     }
     for (const auto &call : calls) {
         call->tick(now);
     }
-    for (const auto id : late) {
-        if (running_.count(id) > 0) {
+    for (const auto id : expired) {
+        if (calls_.count(id) > 0) {
             finish(id, 0, "no answer in time");
         }
     }
--- a/Source/Core/Relay/SimpleFetch.h
+++ b/Source/Core/Relay/SimpleFetch.h
@@ -14,29 +14,29 @@
 {
 public:
     /// Status 0 when no answer came; the body then says why.
-    using Done = std::function<void(unsigned status, std::string body)>;
+    using CompletionHandler = std::function<void(unsigned status, std::string body)>;
 
     explicit SimpleFetch(std::shared_ptr<OutboundPool> pool);
     ~SimpleFetch();
 
     void get(const std::string &address, const std::string &target, Common::milliseconds timeout,
-             Done done, Common::Time now);
+             CompletionHandler onComplete, Common::Time now);
     void tick(Common::Time now);
 
 private:
-    struct Running
+    struct PendingCall
     {
         std::shared_ptr<OutboundCall> call;
-        Common::Time giveUpAt{};
+        Common::Time deadline{};
         unsigned status = 0;
         std::string body;
-        Done done;
+        CompletionHandler onComplete;
     };
 
     void finish(std::uint64_t id, unsigned status, std::string body);
 
     std::shared_ptr<OutboundPool> pool_;
-    std::map<std::uint64_t, Running> running_;
+    std::map<std::uint64_t, PendingCall> calls_;
     std::uint64_t nextId_ = 0;
 };
 
--- a/Source/Core/Relay/StoreWatcher.cpp
+++ b/Source/Core/Relay/StoreWatcher.cpp
@@ -13,7 +13,7 @@
 
 /// A listing has no wait; the store answers in milliseconds.
 constexpr Common::milliseconds ListTimeout{1000};
-constexpr Common::milliseconds StoreIdle{5000};
+constexpr Common::milliseconds StoreIdleTimeout{5000};
 
 } // namespace
 
@@ -21,9 +21,9 @@
                            ChangesHandler changes, StateHandler state)
     : pool_(std::move(pool))
     , options_(options)
-    , changes_(std::move(changes))
-    , state_(std::move(state))
-    , lastTrouble_(steadyNow())
+    , onChanges_(std::move(changes))
+    , onStateChange_(std::move(state))
+    , lastFailureAt_(steadyNow())
 {
 }
 
@@ -60,7 +60,7 @@
 
 bool StoreWatcher::settled(Common::Time now) const
 {
-    return now - lastTrouble_ > Catalog::StoreSettled;
+    return now - lastFailureAt_ > Catalog::StoreSettled;
 }
 
 std::optional<Common::Duration> StoreWatcher::answerAge(Common::Time now) const
@@ -86,19 +86,19 @@
     if (call_) {
         call_->tick(now);
     }
-    if (call_ && now >= giveUpAt_) {
+    if (call_ && now >= deadline_) {
         call_->cancel();
         call_.reset();
-        failed("no answer in time", now);
+        handleFailure("no answer in time", now);
     }
     // A listing that was begun is finished: the first one makes the instance ready.
     const bool wanted = duty_ != Fleet::WatchDuty::Listens || step_ == Step::List;
-    if (!call_ && wanted && now >= nextAt_) {
-        begin(now);
+    if (!call_ && wanted && now >= nextCallAt_) {
+        beginCall(now);
     }
 }
 
-void StoreWatcher::begin(Common::Time now)
+void StoreWatcher::beginCall(Common::Time now)
 {
     const bool watching = step_ == Step::Watch;
     const auto target = watching ? Platform::watchTarget(revision_, options_.wait)
@@ -107,57 +107,57 @@
     request.address = address_;
     request.head = requestHead("GET", target, {{"Host", address_}});
     request.body = std::make_shared<const std::string>();
-    request.maxIdle = StoreIdle;
-    request.assumedKeep = StoreIdle;
+    request.maxIdle = StoreIdleTimeout;
+    request.assumedIdleTimeout = StoreIdleTimeout;
     CallEvents events;
     status_ = 0;
     body_.clear();
-    events.head = [this](const AnswerHead &head) {
+    events.head = [this](const ResponseHead &head) {
         status_ = head.status;
         return true;
     };
     events.body = [this](const std::string &bytes) { body_ += bytes; };
     events.end = [this] {
         call_.reset();
-        answered(steadyNow());
+        handleResponse(steadyNow());
     };
     events.failed = [this](CallFailure, const std::string &reason) {
         call_.reset();
-        failed(reason, steadyNow());
+        handleFailure(reason, steadyNow());
     };
-    giveUpAt_ = now + (watching ? options_.wait + options_.margin : ListTimeout);
+    deadline_ = now + (watching ? options_.wait + options_.margin : ListTimeout);
     call_ = std::make_shared<OutboundCall>(pool_, std::move(request), std::move(events));
     call_->start(now);
 }
 
-void StoreWatcher::answered(Common::Time now)
+void StoreWatcher::handleResponse(Common::Time now)
 {
     if (status_ == Platform::HistoryGoneStatus) {
-        lastTrouble_ = now;
+        lastFailureAt_ = now;
         step_ = Step::List;
         listAfter_.clear();
-        nextAt_ = now;
+        nextCallAt_ = now;
         return;
     }
     if (status_ != Ok) {
-        failed(fmt::format("status {}", status_), now);
+        handleFailure(fmt::format("status {}", status_), now);
         return;
     }
     if (step_ == Step::List) {
-        takeListing(now);
+        handleListing(now);
     } else {
-        takeChanges(now);
+        handleChanges(now);
     }
 }
 
-void StoreWatcher::takeListing(Common::Time now)
+void StoreWatcher::handleListing(Common::Time now)
 {
     auto page = Platform::readListing(body_);
     if (!page) {
-        failed(page.error().message, now);
+        handleFailure(page.error().message, now);
         return;
     }
-    succeeded(now);
+    handleSuccess(now);
     if (listAfter_.empty()) {
         listing_ = {};
         listing_.complete = true;
@@ -166,49 +166,49 @@
     }
     std::move(page->items.begin(), page->items.end(), std::back_inserter(listing_.items));
     listAfter_ = page->nextAfter;
-    nextAt_ = now;
+    nextCallAt_ = now;
     if (!listAfter_.empty()) {
         return;
     }
     revision_ = std::max(revision_, listing_.upTo);
     listed_ = true;
     step_ = Step::Watch;
-    changes_(listing_);
+    onChanges_(listing_);
     listing_ = {};
 }
 
-void StoreWatcher::takeChanges(Common::Time now)
+void StoreWatcher::handleChanges(Common::Time now)
 {
     const auto changes = Platform::readChanges(body_);
     if (!changes) {
-        failed(changes.error().message, now);
+        handleFailure(changes.error().message, now);
         return;
     }
-    succeeded(now);
+    handleSuccess(now);
     revision_ = std::max(revision_, changes->upTo);
-    nextAt_ = changes->items.empty() ? now : now + options_.pause;
-    changes_(*changes);
+    nextCallAt_ = changes->items.empty() ? now : now + options_.pause;
+    onChanges_(*changes);
 }
 
-void StoreWatcher::succeeded(Common::Time now)
+void StoreWatcher::handleSuccess(Common::Time now)
 {
     lastAnswer_ = now;
-    retry_ = Common::milliseconds(0);
-    if (reported_ != StoreState::Answering) {
-        reported_ = StoreState::Answering;
-        state_(reported_, "");
+    retryDelay_ = Common::milliseconds(0);
+    if (reportedState_ != StoreState::Answering) {
+        reportedState_ = StoreState::Answering;
+        onStateChange_(reportedState_, "");
     }
 }
 
-void StoreWatcher::failed(const std::string &reason, Common::Time now)
+void StoreWatcher::handleFailure(const std::string &reason, Common::Time now)
 {
-    lastTrouble_ = now;
-    retry_ = std::min(options_.retryMax, std::max(options_.retryFirst, retry_ * 2));
-    const bool looks = duty_ == Fleet::WatchDuty::Looks;
-    nextAt_ = now + (looks ? std::max(retry_, options_.lookInterval) : retry_);
-    if (reported_ != StoreState::Failing) {
-        reported_ = StoreState::Failing;
-        state_(reported_, reason);
+    lastFailureAt_ = now;
+    retryDelay_ = std::min(options_.retryMax, std::max(options_.retryFirst, retryDelay_ * 2));
+    const bool probing = duty_ == Fleet::WatchDuty::Looks;
+    nextCallAt_ = now + (probing ? std::max(retryDelay_, options_.probeInterval) : retryDelay_);
+    if (reportedState_ != StoreState::Failing) {
+        reportedState_ = StoreState::Failing;
+        onStateChange_(reportedState_, reason);
     }
 }
 
--- a/Source/Core/Relay/StoreWatcher.h
+++ b/Source/Core/Relay/StoreWatcher.h
@@ -34,7 +34,7 @@
         Common::milliseconds pause{60};
         /// Between two calls of an instance that is no watcher and only looks whether the store
         /// answers it.
-        Common::milliseconds lookInterval{1500};
+        Common::milliseconds probeInterval{1500};
     };
 
     /// Told of each answer: changes, or none.
@@ -67,33 +67,33 @@
 private:
     enum class Step { List, Watch };
 
-    void begin(Common::Time now);
-    void answered(Common::Time now);
-    void takeListing(Common::Time now);
-    void takeChanges(Common::Time now);
-    void failed(const std::string &reason, Common::Time now);
-    void succeeded(Common::Time now);
+    void beginCall(Common::Time now);
+    void handleResponse(Common::Time now);
+    void handleListing(Common::Time now);
+    void handleChanges(Common::Time now);
+    void handleFailure(const std::string &reason, Common::Time now);
+    void handleSuccess(Common::Time now);
 
     std::shared_ptr<OutboundPool> pool_;
     Options options_;
-    ChangesHandler changes_;
-    StateHandler state_;
+    ChangesHandler onChanges_;
+    StateHandler onStateChange_;
     std::string address_;
     Fleet::WatchDuty duty_ = Fleet::WatchDuty::Watches;
     Step step_ = Step::List;
     std::shared_ptr<OutboundCall> call_;
     unsigned status_ = 0;
     std::string body_;
-    Common::Time giveUpAt_{};
-    Common::Time nextAt_{};
+    Common::Time deadline_{};
+    Common::Time nextCallAt_{};
     std::optional<Common::Time> lastAnswer_;
-    Common::Time lastTrouble_{};
-    Common::milliseconds retry_{0};
+    Common::Time lastFailureAt_{};
+    Common::milliseconds retryDelay_{0};
     Catalog::Revision revision_ = 0;
     std::string listAfter_;
     Catalog::ItemChanges listing_;
     bool listed_ = false;
-    StoreState reported_ = StoreState::Unknown;
+    StoreState reportedState_ = StoreState::Unknown;
 };
 
 } // namespace LaburnumChute::Relay
--- a/Source/UnitTests/Relay/EventCutterTest.cpp
+++ b/Source/UnitTests/Relay/EventCutterTest.cpp
@@ -5,7 +5,7 @@
 
 namespace LaburnumChute::Relay {
 
-TEST(EventCutterTest, WholeEventsPassUnchanged)
+TEST(EventCutterTest, CompleteEventsAreUnchanged)
 {
     EventCutter cutter;
     EXPECT_EQ(cutter.feed("id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
@@ -15,7 +15,7 @@
     EXPECT_EQ(cutter.lastId(), "2");
 }
 
-TEST(EventCutterTest, CarriageReturnsAndFurtherLinesStay)
+TEST(EventCutterTest, CarriageReturnsAndOtherFieldsAreKept)
 {
     EventCutter cutter;
     const std::string event = "weight-versions: 4\r\nid: 7\r\ndata: x\r\n\r\n";
@@ -25,7 +25,7 @@
 
 // An endpoint breaks off inside an event, and another one goes on after the last whole one. Half an
 // event that was passed on would be joined with the whole one of the other run.
-TEST(EventCutterTest, HalfAnEventIsForgottenWhenAnotherRunGoesOn)
+TEST(EventCutterTest, IncompleteEventIsDiscardedOnRestart)
 {
     EventCutter cutter;
     cutter.feed("id: 1\ndata: a\n\nid: 2\ndata: hal");
@@ -34,7 +34,7 @@
 }
 
 // The endpoint that goes on sends some events again that the caller has.
-TEST(EventCutterTest, EventsThatCameBeforeAreNotPassedTwice)
+TEST(EventCutterTest, RepeatedEventsAreSkippedAfterRestart)
 {
     EventCutter cutter;
     cutter.feed("id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
@@ -43,15 +43,15 @@
               "id: 3\ndata: c\n\n");
 }
 
-TEST(EventCutterTest, RestOfAWholeAnswerIsGivenOut)
+TEST(EventCutterTest, RemainderIsReturnedAtTheEnd)
 {
     EventCutter cutter;
     cutter.feed("id: 1\ndata: a\n\ndata: end");
-    EXPECT_EQ(cutter.takeRest(), "data: end");
-    EXPECT_EQ(cutter.takeRest(), "");
+    EXPECT_EQ(cutter.takeRemainder(), "data: end");
+    EXPECT_EQ(cutter.takeRemainder(), "");
 }
 
-RC_GTEST_PROP(EventCutterProperty, AnyCutOfTheBytesGivesTheSameEvents, ())
+RC_GTEST_PROP(EventCutterProperty, AnySplitOfTheBytesGivesTheSameEvents, ())
 {
     std::string stream;
     const auto events = *rc::gen::inRange(1, 8);
@@ -60,14 +60,14 @@
         stream += "id: " + std::to_string(index) + end + "data: x" + end + end;
     }
     EventCutter cutter;
-    std::string passed;
+    std::string output;
     std::size_t position = 0;
     while (position < stream.size()) {
         const auto size = *rc::gen::inRange<std::size_t>(1, 12);
-        passed += cutter.feed(std::string_view(stream).substr(position, size));
+        output += cutter.feed(std::string_view(stream).substr(position, size));
         position += size;
     }
-    RC_ASSERT(passed == stream);
+    RC_ASSERT(output == stream);
     RC_ASSERT(cutter.lastId() == std::to_string(events - 1));
 }
 
--- a/Source/UnitTests/Relay/EventLogTest.cpp
+++ b/Source/UnitTests/Relay/EventLogTest.cpp
@@ -16,12 +16,12 @@
 protected:
     EventLogTest()
     {
-        std::array<int, 2> ends{};
-        if (::pipe(ends.data()) != 0) {
+        std::array<int, 2> descriptors{};
+        if (::pipe(descriptors.data()) != 0) {
             throw std::runtime_error("no pipe");
         }
-        reader_ = ends[0];
-        writer_ = ends[1];
+        reader_ = descriptors[0];
+        writer_ = descriptors[1];
         ::fcntl(reader_, F_SETFL, O_NONBLOCK);
     }
     ~EventLogTest() override
@@ -30,7 +30,7 @@
         ::close(writer_);
     }
 
-    std::string text()
+    std::string readText()
     {
         std::string text;
         std::array<char, 65536> buffer{};
@@ -40,17 +40,17 @@
         }
         return text;
     }
-    std::vector<nlohmann::json> lines()
+    std::vector<nlohmann::json> readLines()
     {
         std::vector<nlohmann::json> result;
-        std::istringstream stream(text());
+        std::istringstream stream(readText());
         for (std::string line; std::getline(stream, line);) {
             result.push_back(nlohmann::json::parse(line));
         }
         return result;
     }
 
-    EventLog log(double linesPerSecond)
+    EventLog makeLog(double linesPerSecond)
     {
         EventLog::Options options;
         options.linesPerSecond = linesPerSecond;
@@ -65,9 +65,9 @@
 
 } // namespace
 
-TEST_F(EventLogTest, LineIsJsonWithItsFields)
+TEST_F(EventLogTest, LineIsJsonWithAllFields)
 {
-    auto events = log(10);
+    auto events = makeLog(10);
     EventLine line("reject");
     line.add("request", "a\"b\n")
         .add("waited", Common::milliseconds(12))
@@ -75,7 +75,7 @@
         .add("n", std::int64_t(3));
     events.write(line, now_);
     events.flush(now_);
-    const auto written = lines();
+    const auto written = readLines();
     ASSERT_EQ(written.size(), 1U);
     EXPECT_EQ(written[0]["event"], "reject");
     EXPECT_EQ(written[0]["instance"], "one");
@@ -86,9 +86,9 @@
 
 // Ten times the usual requests come. The log stays within its bound, says how much it left out, and
 // another kind of line, of which there are few, is not lost with them.
-TEST_F(EventLogTest, VolumeStaysBoundedUnderTenTimesTheLoad)
+TEST_F(EventLogTest, VolumeIsBoundedUnderTenTimesTheLoad)
 {
-    auto events = log(100);
+    auto events = makeLog(100);
     constexpr int Seconds = 5;
     for (int step = 0; step < Seconds * 1000; ++step) {
         events.write(EventLine("send"), now_);
@@ -100,23 +100,23 @@
     }
     now_ += Common::milliseconds(1000);
     events.flush(now_);
-    int sends = 0;
-    int rare = 0;
-    std::int64_t leftOut = 0;
-    for (const auto &line : lines()) {
-        sends += line["event"] == "send" ? 1 : 0;
-        rare += line["event"] == "store-lost" ? 1 : 0;
-        leftOut += line["event"] == "lines-left-out" ? line["count"].get<std::int64_t>() : 0;
+    int sendLines = 0;
+    int storeLostLines = 0;
+    std::int64_t dropped = 0;
+    for (const auto &line : readLines()) {
+        sendLines += line["event"] == "send" ? 1 : 0;
+        storeLostLines += line["event"] == "store-lost" ? 1 : 0;
+        dropped += line["event"] == "lines-left-out" ? line["count"].get<std::int64_t>() : 0;
     }
-    EXPECT_LE(sends, 100 * Seconds + 200);
-    EXPECT_EQ(rare, Seconds);
-    EXPECT_EQ(sends + leftOut, Seconds * 1000);
+    EXPECT_LE(sendLines, 100 * Seconds + 200);
+    EXPECT_EQ(storeLostLines, Seconds);
+    EXPECT_EQ(sendLines + dropped, Seconds * 1000);
 }
 
 // Whoever reads the log has stopped. A write that waits for it would stop every request.
-TEST_F(EventLogTest, FullPipeIsNotWaitedFor)
+TEST_F(EventLogTest, FullPipeDoesNotBlock)
 {
-    auto events = log(1e9);
+    auto events = makeLog(1e9);
     const auto start = std::chrono::steady_clock::now();
     for (int index = 0; index < 20000; ++index) {
         EventLine line("send");
@@ -126,7 +126,7 @@
     events.flush(now_);
     EXPECT_LT(std::chrono::steady_clock::now() - start, std::chrono::seconds(5));
     // The last line may be there in part.
-    EXPECT_FALSE(text().empty());
+    EXPECT_FALSE(readText().empty());
 }
 
 } // namespace LaburnumChute::Relay
--- a/Source/UnitTests/Relay/InboundConnectionTest.cpp
+++ b/Source/UnitTests/Relay/InboundConnectionTest.cpp
@@ -36,13 +36,13 @@
             server_.tick(std::chrono::steady_clock::now());
         }
     }
-    void say(const std::string &bytes)
+    void sendBytes(const std::string &bytes)
     {
         boost::system::error_code ignored;
         asio::write(caller_, asio::buffer(bytes), ignored);
         run();
     }
-    std::string heard()
+    std::string receivedText()
     {
         std::string text;
         std::array<char, 4096> buffer{};
@@ -61,7 +61,7 @@
     std::vector<InboundRequest> requests_;
     std::function<void(const std::shared_ptr<InboundConnection> &)> handler_ =
         [](const std::shared_ptr<InboundConnection> &connection) {
-            connection->answer(200, {}, "ok");
+            connection->respond(200, {}, "ok");
         };
     InboundServer server_;
     std::string address_;
@@ -71,24 +71,24 @@
 
 } // namespace
 
-TEST_F(InboundConnectionTest, RequestsInPiecesAndOneAfterTheOtherAreServed)
+TEST_F(InboundConnectionTest, ServesFragmentedAndConsecutiveRequests)
 {
-    say("POST /a?b HTTP/1.1\r\nHost: h\r\nContent-Le");
-    say("ngth: 4\r\n\r\nbo");
-    say("dyGET /c HTTP/1.1\r\nHost: h\r\n\r\n");
+    sendBytes("POST /a?b HTTP/1.1\r\nHost: h\r\nContent-Le");
+    sendBytes("ngth: 4\r\n\r\nbo");
+    sendBytes("dyGET /c HTTP/1.1\r\nHost: h\r\n\r\n");
     ASSERT_EQ(requests_.size(), 2U);
     EXPECT_EQ(requests_[0].target, "/a?b");
     EXPECT_EQ(*requests_[0].body, "body");
     EXPECT_EQ(requests_[1].target, "/c");
-    const auto text = heard();
+    const auto text = receivedText();
     EXPECT_FALSE(closed_);
     EXPECT_NE(text.find("ok", text.find("ok") + 1), std::string::npos);
 }
 
 TEST_F(InboundConnectionTest, ChunkedBodyIsRead)
 {
-    say("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: "
-        "chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
+    sendBytes("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: "
+              "chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
     ASSERT_EQ(requests_.size(), 1U);
     EXPECT_EQ(*requests_[0].body, "abcde");
 }
@@ -111,67 +111,68 @@
         caller_.connect(
             tcp::endpoint(asio::ip::make_address("127.0.0.1"), static_cast<std::uint16_t>(port)));
         caller_.non_blocking(true);
-        say("POST /a HTTP/1.1\r\nHost: h\r\n" + head + "\r\n0\r\n\r\nGET /b HTTP/1.1\r\n\r\n");
-        EXPECT_EQ(heard().substr(0, 12), "HTTP/1.1 400") << head;
+        sendBytes("POST /a HTTP/1.1\r\nHost: h\r\n" + head
+                  + "\r\n0\r\n\r\nGET /b HTTP/1.1\r\n\r\n");
+        EXPECT_EQ(receivedText().substr(0, 12), "HTTP/1.1 400") << head;
     }
     EXPECT_TRUE(requests_.empty());
 }
 
-TEST_F(InboundConnectionTest, TooLargeRequestsAreRefusedByName)
+TEST_F(InboundConnectionTest, TooLargeBodyIsRejected)
 {
-    say("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5000\r\n\r\n");
-    EXPECT_EQ(heard().substr(0, 12), "HTTP/1.1 413");
+    sendBytes("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5000\r\n\r\n");
+    EXPECT_EQ(receivedText().substr(0, 12), "HTTP/1.1 413");
 }
 
-TEST_F(InboundConnectionTest, EndlessHeadIsRefused)
+TEST_F(InboundConnectionTest, TooLargeHeaderIsRejected)
 {
     limits_.headerBytes = 200;
-    say("GET /a HTTP/1.1\r\nHost: h\r\nX: " + std::string(400, 'x') + "\r\n\r\n");
-    EXPECT_EQ(heard().substr(0, 12), "HTTP/1.1 431");
+    sendBytes("GET /a HTTP/1.1\r\nHost: h\r\nX: " + std::string(400, 'x') + "\r\n\r\n");
+    EXPECT_EQ(receivedText().substr(0, 12), "HTTP/1.1 431");
 }
 
 // A caller sends its head a byte at a time and would hold the connection for ever.
-TEST_F(InboundConnectionTest, SlowHeadIsGivenUp)
+TEST_F(InboundConnectionTest, SlowHeaderTimesOut)
 {
     limits_.headerTimeout = Common::milliseconds(80);
-    say("GET /a HT");
+    sendBytes("GET /a HT");
     run(Common::milliseconds(150));
-    EXPECT_EQ(heard().substr(0, 12), "HTTP/1.1 408");
+    EXPECT_EQ(receivedText().substr(0, 12), "HTTP/1.1 408");
 }
 
 // The caller leaves while its request is being served. Until that is known its endpoint works for
 // nobody.
 TEST_F(InboundConnectionTest, DisconnectDuringRequestIsNoticedImmediately)
 {
-    bool gone = false;
+    bool disconnected = false;
     std::shared_ptr<InboundConnection> held;
     handler_ = [&](const std::shared_ptr<InboundConnection> &connection) {
         held = connection;
-        connection->onGone([&] { gone = true; });
+        connection->onDisconnect([&] { disconnected = true; });
     };
-    say("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
-    ASSERT_FALSE(gone);
+    sendBytes("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
+    ASSERT_FALSE(disconnected);
     caller_.close();
     run(Common::milliseconds(30));
-    EXPECT_TRUE(gone);
+    EXPECT_TRUE(disconnected);
 }
 
-TEST_F(InboundConnectionTest, PiecesAreSentAsTheyCome)
+TEST_F(InboundConnectionTest, StreamedPartsAreSentImmediately)
 {
     std::shared_ptr<InboundConnection> held;
     handler_ = [&](const std::shared_ptr<InboundConnection> &connection) { held = connection; };
-    say("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
-    held->beginPieces(200, {{"A", "1"}});
+    sendBytes("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
+    held->beginStream(200, {{"A", "1"}});
     run();
-    EXPECT_EQ(heard(), "");
-    held->piece("one");
+    EXPECT_EQ(receivedText(), "");
+    held->sendPart("one");
     run();
-    const auto first = heard();
+    const auto first = receivedText();
     EXPECT_NE(first.find("A: 1\r\n"), std::string::npos);
     EXPECT_NE(first.find("3\r\none\r\n"), std::string::npos);
-    held->endPieces();
+    held->endStream();
     run();
-    EXPECT_EQ(heard(), "0\r\n\r\n");
+    EXPECT_EQ(receivedText(), "0\r\n\r\n");
     EXPECT_FALSE(closed_);
 }
 
@@ -180,12 +181,12 @@
 {
     std::shared_ptr<InboundConnection> held;
     handler_ = [&](const std::shared_ptr<InboundConnection> &connection) { held = connection; };
-    say("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
-    held->beginPieces(200, {});
-    held->piece("one");
+    sendBytes("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
+    held->beginStream(200, {});
+    held->sendPart("one");
     held->abort();
     run();
-    const auto text = heard();
+    const auto text = receivedText();
     EXPECT_TRUE(closed_);
     EXPECT_EQ(text.find("0\r\n\r\n"), std::string::npos);
 }
@@ -194,15 +195,15 @@
 // no answer is lost in a reset.
 TEST_F(InboundConnectionTest, ClosingConnectionStillSendsTheResponse)
 {
-    say("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
-    heard();
+    sendBytes("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
+    receivedText();
     std::shared_ptr<InboundConnection> held;
     handler_ = [&](const std::shared_ptr<InboundConnection> &connection) { held = connection; };
-    say("GET /b HTTP/1.1\r\nHost: h\r\n\r\n");
-    server_.closeSoon();
-    held->answer(200, {}, "last");
+    sendBytes("GET /b HTTP/1.1\r\nHost: h\r\n\r\n");
+    server_.closeGracefully();
+    held->respond(200, {}, "last");
     run();
-    const auto text = heard();
+    const auto text = receivedText();
     EXPECT_NE(text.find("Connection: close"), std::string::npos);
     EXPECT_NE(text.find("last"), std::string::npos);
     EXPECT_TRUE(closed_);
--- a/Source/UnitTests/Relay/OutboundCallTest.cpp
+++ b/Source/UnitTests/Relay/OutboundCallTest.cpp
@@ -38,7 +38,7 @@
         Outcome outcome;
         CallEvents events;
         events.maySend = std::move(maySend);
-        events.head = [&](const AnswerHead &head) {
+        events.head = [&](const ResponseHead &head) {
             outcome.statuses.push_back(head.status);
             return Common::findHeader(head.headers, "Foreign") == nullptr;
         };
@@ -48,16 +48,16 @@
             outcome.failure = failure;
             outcome.reason = reason;
         };
-        const auto running =
+        const auto activeCall =
             std::make_shared<OutboundCall>(pool_, std::move(request), std::move(events));
-        running->start(std::chrono::steady_clock::now());
-        const auto giveUp = std::chrono::steady_clock::now() + Common::seconds(5);
-        while (!outcome.ended && !outcome.failure && std::chrono::steady_clock::now() < giveUp) {
+        activeCall->start(std::chrono::steady_clock::now());
+        const auto deadline = std::chrono::steady_clock::now() + Common::seconds(5);
+        while (!outcome.ended && !outcome.failure && std::chrono::steady_clock::now() < deadline) {
             context_.restart();
             context_.run_for(Common::milliseconds(5));
-            running->tick(std::chrono::steady_clock::now());
+            activeCall->tick(std::chrono::steady_clock::now());
         }
-        running->cancel();
+        activeCall->cancel();
         return outcome;
     }
 
@@ -65,7 +65,7 @@
     std::shared_ptr<OutboundPool> pool_ = std::make_shared<OutboundPool>(context_);
 };
 
-ScriptedServer::Script answer(const std::string &bytes)
+ScriptedServer::Script respondWith(const std::string &bytes)
 {
     return [bytes](tcp::socket &socket) {
         ScriptedServer::readHead(socket);
@@ -77,7 +77,7 @@
 
 } // namespace
 
-TEST_F(OutboundCallTest, WholeAnswerIsPassedOnAndTheConnectionKept)
+TEST_F(OutboundCallTest, ReusesTheConnectionAfterACompleteResponse)
 {
     ScriptedServer server({[](tcp::socket &socket) {
         for (int index = 0; index < 2; ++index) {
@@ -86,12 +86,12 @@
         }
     }});
     EXPECT_EQ(call(request(server.address())).body, "ok");
-    EXPECT_EQ(pool_->idle(), 1U);
+    EXPECT_EQ(pool_->idleCount(), 1U);
     EXPECT_EQ(call(request(server.address())).body, "ok");
-    EXPECT_EQ(server.accepted(), 1);
+    EXPECT_EQ(server.acceptedCount(), 1);
 }
 
-TEST_F(OutboundCallTest, ClosedPortMeansThatNothingWasSent)
+TEST_F(OutboundCallTest, ClosedPortIsNotConnected)
 {
     std::string address;
     {
@@ -114,7 +114,7 @@
 }
 
 // The endpoint resets the connection after the request has been sent. It may have run it.
-TEST_F(OutboundCallTest, ResetAfterTheRequestIsNotTakenForNotSent)
+TEST_F(OutboundCallTest, ResetAfterTheRequestIsBroken)
 {
     ScriptedServer server({[](tcp::socket &socket) {
         ScriptedServer::readHead(socket);
@@ -123,14 +123,14 @@
     EXPECT_EQ(call(request(server.address())).failure, CallFailure::Broken);
 }
 
-TEST_F(OutboundCallTest, BytesThatAreNoAnswerAreAFailure)
+TEST_F(OutboundCallTest, InvalidResponseIsAFailure)
 {
-    ScriptedServer server({answer("\x01\x02 what is this\r\n\r\n")});
+    ScriptedServer server({respondWith("\x01\x02 what is this\r\n\r\n")});
     EXPECT_EQ(call(request(server.address())).failure, CallFailure::Broken);
 }
 
 // The endpoint breaks off inside its answer. Passed on as it is, half an answer would look whole.
-TEST_F(OutboundCallTest, AnswerThatBreaksOffIsAFailure)
+TEST_F(OutboundCallTest, TruncatedResponseIsAFailure)
 {
     ScriptedServer server({[](tcp::socket &socket) {
         ScriptedServer::readHead(socket);
@@ -141,7 +141,7 @@
     EXPECT_EQ(outcome.failure, CallFailure::Broken);
 }
 
-TEST_F(OutboundCallTest, AnswerWithoutALengthEndsWithItsConnection)
+TEST_F(OutboundCallTest, ResponseWithoutLengthEndsWithItsConnection)
 {
     ScriptedServer server({[](tcp::socket &socket) {
         ScriptedServer::readHead(socket);
@@ -150,11 +150,11 @@
     const auto outcome = call(request(server.address()));
     EXPECT_TRUE(outcome.ended);
     EXPECT_EQ(outcome.body, "all of it");
-    EXPECT_EQ(pool_->idle(), 0U);
+    EXPECT_EQ(pool_->idleCount(), 0U);
 }
 
 // The same, but the connection is reset: what came may be a part.
-TEST_F(OutboundCallTest, AnswerWithoutALengthThatIsResetIsNotWhole)
+TEST_F(OutboundCallTest, ResetResponseWithoutLengthIsIncomplete)
 {
     ScriptedServer server({[](tcp::socket &socket) {
         ScriptedServer::readHead(socket);
@@ -169,25 +169,26 @@
 
 // A second answer to an earlier request comes where this one's is expected. Its caller would get
 // somebody else's answer.
-TEST_F(OutboundCallTest, AnswerToAnotherRequestIsSkipped)
+TEST_F(OutboundCallTest, ResponseToAnotherRequestIsSkipped)
 {
-    ScriptedServer server({answer("HTTP/1.1 200 OK\r\nForeign: 1\r\nContent-Length: 6\r\n\r\ntheirs"
-                                  "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nours")});
+    ScriptedServer server(
+        {respondWith("HTTP/1.1 200 OK\r\nForeign: 1\r\nContent-Length: 6\r\n\r\ntheirs"
+                     "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nours")});
     const auto outcome = call(request(server.address()));
     EXPECT_TRUE(outcome.ended);
     EXPECT_EQ(outcome.body, "ours");
 }
 
 // Bytes follow a whole answer. A further request on that connection would take them for its own.
-TEST_F(OutboundCallTest, ConnectionWithBytesAfterTheAnswerIsNotKept)
+TEST_F(OutboundCallTest, ConnectionWithBytesAfterTheResponseIsNotReused)
 {
-    ScriptedServer server({answer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokextra")});
+    ScriptedServer server({respondWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokextra")});
     EXPECT_EQ(call(request(server.address())).body, "ok");
-    EXPECT_EQ(pool_->idle(), 0U);
+    EXPECT_EQ(pool_->idleCount(), 0U);
 }
 
 // They come a moment later, while the connection idles.
-TEST_F(OutboundCallTest, IdleConnectionThatSpeaksIsNotUsed)
+TEST_F(OutboundCallTest, IdleConnectionThatReceivesBytesIsNotReused)
 {
     ScriptedServer server(
         {[](tcp::socket &socket) {
@@ -196,7 +197,7 @@
              std::this_thread::sleep_for(std::chrono::milliseconds(30));
              ScriptedServer::write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
          },
-         answer("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nours")});
+         respondWith("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nours")});
     EXPECT_EQ(call(request(server.address())).body, "ok");
     std::this_thread::sleep_for(std::chrono::milliseconds(100));
     EXPECT_EQ(call(request(server.address())).body, "ours");
@@ -204,7 +205,7 @@
 
 // The endpoint turns a long request away before it has read it. Its answer counts, and the
 // connection, which still expects the rest, is not used for another request.
-TEST_F(OutboundCallTest, AnswerBeforeTheRequestIsWrittenCounts)
+TEST_F(OutboundCallTest, ResponseBeforeTheRequestIsWrittenIsUsed)
 {
     ScriptedServer server({[](tcp::socket &socket) {
         ScriptedServer::readHead(socket);
@@ -215,31 +216,32 @@
     ASSERT_EQ(outcome.statuses.size(), 1U);
     EXPECT_EQ(outcome.statuses[0], 413U);
     EXPECT_EQ(outcome.body, "no");
-    EXPECT_EQ(pool_->idle(), 0U);
+    EXPECT_EQ(pool_->idleCount(), 0U);
 }
 
-TEST_F(OutboundCallTest, InterimAnswersAreSkipped)
+TEST_F(OutboundCallTest, InterimResponsesAreSkipped)
 {
-    ScriptedServer server({answer("HTTP/1.1 100 Continue\r\n\r\n"
-                                  "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")});
+    ScriptedServer server({respondWith("HTTP/1.1 100 Continue\r\n\r\n"
+                                       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")});
     const auto outcome = call(request(server.address()));
     EXPECT_EQ(outcome.statuses, std::vector<unsigned>{200});
     EXPECT_EQ(outcome.body, "ok");
 }
 
 // A damaged head states an enormous length. Memory must not be asked for on its word.
-TEST_F(OutboundCallTest, AbsurdLengthIsAFailure)
+TEST_F(OutboundCallTest, ExcessiveContentLengthIsAFailure)
 {
-    ScriptedServer server({answer("HTTP/1.1 200 OK\r\nContent-Length: 99999999999999\r\n\r\nx")});
+    ScriptedServer server(
+        {respondWith("HTTP/1.1 200 OK\r\nContent-Length: 99999999999999\r\n\r\nx")});
     EXPECT_EQ(call(request(server.address())).failure, CallFailure::Broken);
 }
 
-TEST_F(OutboundCallTest, ConnectionThatTheOtherSideWillCloseIsNotKept)
+TEST_F(OutboundCallTest, ConnectionCloseIsNotReused)
 {
     ScriptedServer server(
-        {answer("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok")});
+        {respondWith("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok")});
     EXPECT_TRUE(call(request(server.address())).ended);
-    EXPECT_EQ(pool_->idle(), 0U);
+    EXPECT_EQ(pool_->idleCount(), 0U);
 }
 
 } // namespace LaburnumChute::Relay
--- a/Source/UnitTests/Relay/PeerMessagesTest.cpp
+++ b/Source/UnitTests/Relay/PeerMessagesTest.cpp
@@ -6,36 +6,36 @@
 
 namespace LaburnumChute::Relay {
 
-TEST(ForwardMetadataTest, NoteTravelsAsText)
+TEST(ForwardMetadataTest, EncodesAndDecodes)
 {
-    ForwardMetadata note;
-    note.service = "desk";
-    note.attempts = 2;
-    note.objectiveLeftMs = -40;
-    note.fingerprint = 0xfedcba9876543210ULL;
-    note.fromRegion = "north";
-    const auto read = decodeNote(encodeNote(note));
+    ForwardMetadata metadata;
+    metadata.service = "desk";
+    metadata.attempts = 2;
+    metadata.objectiveLeftMs = -40;
+    metadata.fingerprint = 0xfedcba9876543210ULL;
+    metadata.fromRegion = "north";
+    const auto read = decodeForwardMetadata(encodeForwardMetadata(metadata));
     ASSERT_TRUE(read);
     EXPECT_EQ(read->service, "desk");
     EXPECT_EQ(read->objectiveLeftMs, -40);
-    EXPECT_EQ(read->fingerprint, note.fingerprint);
+    EXPECT_EQ(read->fingerprint, metadata.fingerprint);
     EXPECT_EQ(read->fromRegion, "north");
 }
 
 // A text that is no note, or a damaged one whose lengths lie. It must not cost memory or the
 // process.
-TEST(ForwardMetadataTest, OtherTextsAreErrors)
+TEST(ForwardMetadataTest, InvalidTextIsAnError)
 {
-    EXPECT_FALSE(decodeNote(""));
-    EXPECT_FALSE(decodeNote("zz"));
-    EXPECT_FALSE(decodeNote("01ffffffffffffffff"));
-    const auto whole = encodeNote(ForwardMetadata());
-    EXPECT_FALSE(decodeNote(whole.substr(0, whole.size() / 2)));
+    EXPECT_FALSE(decodeForwardMetadata(""));
+    EXPECT_FALSE(decodeForwardMetadata("zz"));
+    EXPECT_FALSE(decodeForwardMetadata("01ffffffffffffffff"));
+    const auto whole = encodeForwardMetadata(ForwardMetadata());
+    EXPECT_FALSE(decodeForwardMetadata(whole.substr(0, whole.size() / 2)));
 }
 
 // Each long prompt is told to every neighbour at once. The message has to stay small, or the
 // notices of a peak would fill the links that requests need.
-TEST(GossipMessageTest, NoticeOfAPromptTravelsInAFewBytes)
+TEST(GossipMessageTest, PromptNoticeIsSmall)
 {
     Dispatch::PromptNotices notices;
     notices.sender = Common::InstanceId("edge-asahikawa-a-2");
@@ -45,15 +45,15 @@
     EXPECT_LT(bytes.size(), SmallDatagram);
     const auto read = Peers::decodeValue<GossipMessage>(bytes);
     ASSERT_TRUE(read);
-    const auto *same = std::get_if<Dispatch::PromptNotices>(&*read);
-    ASSERT_NE(same, nullptr);
-    ASSERT_EQ(same->prompts.size(), 1U);
-    EXPECT_EQ(same->prompts[0].tokensToRead, 4100U);
-    EXPECT_EQ(same->prompts[0].parts[0].tokens, 13000U);
+    const auto *decodedNotices = std::get_if<Dispatch::PromptNotices>(&*read);
+    ASSERT_NE(decodedNotices, nullptr);
+    ASSERT_EQ(decodedNotices->prompts.size(), 1U);
+    EXPECT_EQ(decodedNotices->prompts[0].tokensToRead, 4100U);
+    EXPECT_EQ(decodedNotices->prompts[0].parts[0].tokens, 13000U);
 }
 
 // A damaged datagram, or one of an older version. It must not cost memory or the process.
-TEST(GossipMessageTest, OtherBytesAreErrors)
+TEST(GossipMessageTest, InvalidBytesAreAnError)
 {
     EXPECT_FALSE(Peers::decodeValue<GossipMessage>(""));
     EXPECT_FALSE(Peers::decodeValue<GossipMessage>("what is this"));
@@ -61,12 +61,12 @@
     EXPECT_FALSE(Peers::decodeValue<GossipMessage>(whole.substr(0, whole.size() / 2)));
 }
 
-TEST(PeerSyncTest, TargetNamesTheRevision)
+TEST(PeerSyncTest, ParsesTheRevisionInATarget)
 {
-    EXPECT_EQ(readItemsTarget(itemsTarget(42)), 42U);
-    EXPECT_FALSE(readItemsTarget("/laburnumchute/items"));
-    EXPECT_FALSE(readItemsTarget("/other?after=3"));
-    EXPECT_FALSE(readItemsTarget("/laburnumchute/items?after=x"));
+    EXPECT_EQ(parseItemsTarget(itemsTarget(42)), 42U);
+    EXPECT_FALSE(parseItemsTarget("/laburnumchute/items"));
+    EXPECT_FALSE(parseItemsTarget("/other?after=3"));
+    EXPECT_FALSE(parseItemsTarget("/laburnumchute/items?after=x"));
 }
 
 } // namespace LaburnumChute::Relay
--- a/Source/UnitTests/Relay/PeerSyncTest.cpp
+++ b/Source/UnitTests/Relay/PeerSyncTest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-Fleet::Peer peerAt(const std::string &name, const std::string &address, Catalog::Revision known)
+Fleet::Peer makePeer(const std::string &name, const std::string &address, Catalog::Revision known)
 {
     Fleet::Peer peer;
     peer.record.id = Common::InstanceId(name);
@@ -20,7 +20,7 @@
     return peer;
 }
 
-std::string changesAnswer(Catalog::Revision revision)
+std::string changesResponse(Catalog::Revision revision)
 {
     Catalog::ItemChanges changes;
     changes.upTo = revision;
@@ -41,11 +41,11 @@
     }});
     ScriptedServer answering({[](tcp::socket &socket) {
         ScriptedServer::readHead(socket);
-        ScriptedServer::write(socket, changesAnswer(10));
+        ScriptedServer::write(socket, changesResponse(10));
         std::this_thread::sleep_for(std::chrono::milliseconds(150));
     }});
-    const std::vector<Fleet::Peer> peers = {peerAt("a", silent.address(), 10),
-                                            peerAt("b", answering.address(), 10)};
+    const std::vector<Fleet::Peer> peers = {makePeer("a", silent.address(), 10),
+                                            makePeer("b", answering.address(), 10)};
     asio::io_context context;
     Catalog::Revision known = 1;
     PeerSync sync(std::make_shared<OutboundPool>(context), Common::RegionName("home"),
--- a/Source/UnitTests/Relay/ShutdownPlanTest.cpp
+++ b/Source/UnitTests/Relay/ShutdownPlanTest.cpp
@@ -20,12 +20,12 @@
 
 // An instance is told to stop while callers that have not asked the directory again go on sending
 // to it. For two seconds they notice nothing.
-TEST(ShutdownPlanTest, ServesAsBeforeAtFirst)
+TEST(ShutdownPlanTest, ServesNormallyAtFirst)
 {
     const auto step = stepAfter(milliseconds(2000), 0, 0);
     EXPECT_FALSE(step.closeConnections);
-    EXPECT_FALSE(step.refuseRequests);
-    EXPECT_FALSE(step.refuseConnections);
+    EXPECT_FALSE(step.rejectRequests);
+    EXPECT_FALSE(step.rejectConnections);
     EXPECT_FALSE(step.end);
 }
 
@@ -33,12 +33,12 @@
 // five seconds. Were it taken, it would be cut off as the process is ended by force: the caller
 // loses an answer that another instance could have given. So no request is taken that may not end
 // in time.
-TEST(ShutdownPlanTest, TakesNoRequestThatMayNotEndInTime)
+TEST(ShutdownPlanTest, RejectsRequestsThatMayNotEndInTime)
 {
     for (milliseconds time(0); time < Bound; time += milliseconds(10)) {
         const bool endsInTime = time + LongestRequest <= Bound;
         if (!endsInTime) {
-            EXPECT_TRUE(stepAfter(time, 1, 1).refuseRequests) << time.count();
+            EXPECT_TRUE(stepAfter(time, 1, 1).rejectRequests) << time.count();
         }
     }
 }
@@ -46,7 +46,7 @@
 // The last request has been answered, and its caller is still sending on that connection. A process
 // that ended now would reset the connection, and the caller would lose the answer that is on its
 // way.
-TEST(ShutdownPlanTest, EndsOnlyWhenItsConnectionsHaveEnded)
+TEST(ShutdownPlanTest, WaitsForConnectionsToClose)
 {
     EXPECT_FALSE(stepAfter(milliseconds(3300), 0, 1).end);
     EXPECT_FALSE(stepAfter(milliseconds(4800), 0, 1).end);
@@ -54,14 +54,14 @@
 }
 
 // A caller that never closes its connection does not keep the process.
-TEST(ShutdownPlanTest, EndsInSpiteOfAConnectionThatStaysOpen)
+TEST(ShutdownPlanTest, ExitsDespiteAConnectionThatStaysOpen)
 {
     EXPECT_TRUE(stepAfter(milliseconds(5000), 0, 1).end);
 }
 
 // A request that takes longer than the time to stop is cut off by the process itself, so that its
 // log tells of it.
-TEST(ShutdownPlanTest, EndsBeforeItIsEndedByForce)
+TEST(ShutdownPlanTest, ExitsBeforeItIsKilled)
 {
     EXPECT_FALSE(stepAfter(milliseconds(7600), 1, 1).end);
     EXPECT_TRUE(stepAfter(milliseconds(7900), 1, 1).end);
--- a/Source/UnitTests/Relay/Sockets.h
+++ b/Source/UnitTests/Relay/Sockets.h
@@ -25,17 +25,17 @@
 
     explicit ScriptedServer(std::vector<Script> scripts)
         : acceptor_(context_, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0))
-        , thread_([this, scripts = std::move(scripts)] { play(scripts); })
+        , thread_([this, scripts = std::move(scripts)] { runScripts(scripts); })
     {
     }
     ~ScriptedServer()
     {
         // Wakes an accept that still waits.
         boost::system::error_code ignored;
-        tcp::socket wake(context_);
-        wake.connect(acceptor_.local_endpoint(), ignored);
+        tcp::socket unblockingSocket(context_);
+        unblockingSocket.connect(acceptor_.local_endpoint(), ignored);
         // Unblocks a script that is waiting to read a request.
-        wake.close(ignored);
+        unblockingSocket.close(ignored);
         thread_.join();
     }
     ScriptedServer(const ScriptedServer &) = delete;
@@ -45,9 +45,9 @@
     {
         return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port());
     }
-    int accepted() const
+    int acceptedCount() const
     {
-        return accepted_;
+        return acceptedCount_;
     }
 
     /// Reads a request's head (and body, when it is short enough to come with it).
@@ -72,7 +72,7 @@
     }
 
 private:
-    void play(const std::vector<Script> &scripts)
+    void runScripts(const std::vector<Script> &scripts)
     {
         for (const auto &script : scripts) {
             boost::system::error_code error;
@@ -81,14 +81,14 @@
             if (error) {
                 return;
             }
-            ++accepted_;
+            ++acceptedCount_;
             script(socket);
         }
     }
 
     asio::io_context context_;
     tcp::acceptor acceptor_;
-    std::atomic<int> accepted_{0};
+    std::atomic<int> acceptedCount_{0};
     std::thread thread_;
 };
 
