--- a/Source/Core/Relay/DirectoryAnswer.h
+++ b/Source/Core/Relay/DirectoryAnswer.h
@@ -8,25 +8,30 @@
 
 namespace LaburnumChute::Relay {
 
-/// An instance that a caller may be told of.
+/// An instance that a directory response may list.
 struct DirectoryCandidate
 {
     std::string address;
     Common::RegionName region;
-    /// It is about to stop, but still serves who comes.
+    /// The instance is shutting down but still serves requests.
     bool leaving = false;
 };
 
-/// The addresses for a caller of the region, by the first of these that yields any: instances of
-/// that region; those of the other regions that most routes with homes allow; the region's own that
-/// are about to stop, and such ones of the homes; any.
+/// Returns the addresses to list for a caller in `callerRegion`. The first of these groups that is
+/// not empty is used:
+/// 1. instances in the caller's region that are not shutting down
+/// 2. such instances in the home regions: the regions that the largest number of routes with home
+///    regions allow, or all regions if no route has home regions
+/// 3. all instances in the caller's region
+/// 4. all instances in the home regions
+/// 5. instances in any region that are not shutting down
+/// 6. all instances
 ///
-/// What goes wrong otherwise: the instances of a region are replaced one after the other, and for a
-/// moment none is left that stays. Its callers would be spread over all other regions, where an
-/// instance outside the homes of a request must not even read it, and stay there for the lifetime
-/// of the answer.
+/// During a rolling replacement, all instances of a region may be shutting down at the same time.
+/// If its callers were then sent to arbitrary regions, their requests would reach instances outside
+/// the home regions, which must not even read them, until the directory response expires.
 ///
-/// @param homes the homes of each route that has some
+/// @param homes the home regions of each route that has any
 std::vector<std::string> chooseAddresses(const std::vector<DirectoryCandidate> &candidates,
                                          const Common::RegionName &callerRegion,
                                          const std::vector<std::vector<Common::RegionName>> &homes,
--- a/Source/Core/Relay/EventCutter.cpp
+++ b/Source/Core/Relay/EventCutter.cpp
@@ -15,7 +15,7 @@
     std::size_t length = 0;
 };
 
-/// The first blank line: two line ends in a row.
+/// Finds the first blank line, which ends an event.
 EventEnd findEventEnd(std::string_view text, std::size_t from)
 {
     for (auto lineFeed = text.find('\n', from); lineFeed != std::string_view::npos;
@@ -61,7 +61,8 @@
     return parsed.ec == std::errc() && parsed.ptr == end ? std::optional(value) : std::nullopt;
 }
 
-/// True when the first id is not after the second one.
+/// Returns true if `id` is at or before `last`. Ids that are not both numbers match only if they
+/// are equal.
 bool isAtOrBefore(const std::string &id, const std::string &last)
 {
     const auto number = parseNumber(id);
@@ -85,7 +86,7 @@
         from = next;
     }
     pending_.erase(0, start);
-    // An end may begin with the last bytes that were seen.
+    // A line break sequence that ends an event may be split between two calls.
     constexpr std::size_t MaxEndLength = 3;
     scanOffset_ = pending_.size() - std::min(pending_.size(), MaxEndLength);
     return out;
--- a/Source/Core/Relay/EventCutter.h
+++ b/Source/Core/Relay/EventCutter.h
@@ -6,26 +6,28 @@
 
 namespace LaburnumChute::Relay {
 
-/// Cuts a stream of server-sent events into whole ones and passes them on byte by byte as they
-/// came, so that a stream that breaks inside an event can go on elsewhere without half of it having
-/// been passed on.
+/// Splits a stream of server-sent events (SSE) into complete events without changing their bytes.
+///
+/// Partial events are held back, so that a stream that breaks inside an event can be resumed at
+/// another endpoint without the caller having received part of that event.
 class EventCutter
 {
 public:
-    /// Takes bytes and returns all events that they complete.
+    /// Appends bytes and returns the events that they complete.
     std::string feed(std::string_view bytes);
-    /// Whole events that were passed on.
+    /// Number of complete events returned so far.
     int events() const
     {
         return eventCount_;
     }
-    /// What is left of an event that has not ended.
+    /// Removes and returns the bytes of the incomplete event.
     std::string takeRemainder();
-    /// Another connection goes on with the stream: the half event comes again, and whole events up
-    /// to the last id that was passed on are left out should they come again, too.
+    /// Prepares for a stream that is resumed on another connection. Discards the incomplete event,
+    /// which is sent again, and skips leading events up to the last returned id if they are
+    /// repeated.
     void restart();
 
-    /// The id of the last whole event that had one.
+    /// Id of the last complete event that had one.
     const std::optional<std::string> &lastId() const
     {
         return lastId_;
--- a/Source/Core/Relay/EventLog.cpp
+++ b/Source/Core/Relay/EventLog.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Common::milliseconds DropReportInterval{1000};
-/// A buffer this full is written at once, a tick's worth of lines otherwise.
+/// A larger buffer is written immediately; a smaller one is written at the next tick.
 constexpr std::size_t FlushBytes = 16 * 1024;
 
 std::string formatTime()
@@ -160,7 +160,7 @@
     while (!buffer_.empty()) {
         const auto written = ::write(descriptor_, buffer_.data(), buffer_.size());
         if (written <= 0) {
-            // The reader is slow or gone: the rest waits for the next time.
+            // The reader is slow or closed; the rest is written by a later flush.
             return;
         }
         buffer_.erase(0, static_cast<std::size_t>(written));
--- a/Source/Core/Relay/EventLog.h
+++ b/Source/Core/Relay/EventLog.h
@@ -10,7 +10,7 @@
 
 namespace LaburnumChute::Relay {
 
-/// One structured line in the making: a JSON object with the event's name first.
+/// Builds one structured log line: a JSON object that contains the event name and further fields.
 class EventLine
 {
 public:
@@ -20,13 +20,13 @@
     EventLine &add(std::string_view name, const char *value);
     EventLine &add(std::string_view name, std::int64_t value);
     EventLine &add(std::string_view name, bool value);
-    /// In milliseconds, under NAME_ms.
+    /// Adds the duration in milliseconds as field NAME_ms.
     template <typename Rep, typename Period>
     EventLine &add(std::string_view name, std::chrono::duration<Rep, Period> value)
     {
         return addMilliseconds(name, std::chrono::duration_cast<Common::milliseconds>(value));
     }
-    /// As above; null says that there is no such time.
+    /// Adds the duration as above, or null if it is not set.
     EventLine &add(std::string_view name, std::optional<Common::Duration> value);
     template <typename Tag>
     EventLine &add(std::string_view name, const Common::Name<Tag> &value)
@@ -51,18 +51,19 @@
     std::string text_;
 };
 
-/// Writes structured lines to a descriptor.
+/// Writes structured log lines to a file descriptor.
 ///
-/// Load pattern: ten times the usual requests, or a reader of the log that has stopped reading.
-/// Each kind of line has a bucket of its own, so that a flood of one kind does not hide the others;
-/// what is left out is counted and told. Lines wait in a bounded buffer and are written without
-/// waiting: a write that blocks would stop every request of the process.
+/// Designed for ten times the usual request rate and for a log reader that has stopped reading.
+/// Each event name has its own token bucket, so that a flood of one event does not displace the
+/// others; dropped lines are counted and reported. Lines are kept in a bounded buffer and written
+/// without blocking, because a blocking write would stall all requests of the process.
 class EventLog
 {
 public:
     struct Options
     {
-        /// Lines of one kind a second, and at once. A hundred lines of 200 bytes are 20 KB/s.
+        /// Sustained rate and burst size in lines, for each event name. 100 lines of 200 bytes per
+        /// second are 20 KB/s.
         double linesPerSecond = 100;
         double burst = 200;
         std::size_t bufferBytes = 256 * 1024;
@@ -71,7 +72,7 @@
     EventLog(int descriptor, Options options, std::string instance);
 
     void write(const EventLine &line, Common::Time now);
-    /// Writes what waits, as far as the descriptor takes it; to be called now and then.
+    /// Writes as much of the buffer as the descriptor accepts. Must be called periodically.
     void flush(Common::Time now);
 
 private:
--- a/Source/Core/Relay/ForwardMetadata.h
+++ b/Source/Core/Relay/ForwardMetadata.h
@@ -9,9 +9,9 @@
 
 namespace LaburnumChute::Relay {
 
-/// What an instance tells another one of a request that it forwards. The receiver looks up no
-/// route: it may know another version of the configuration, and the request keeps the one it came
-/// in under.
+/// Metadata that an instance sends along with a request that it forwards to another instance. The
+/// receiver does not look up a route: it may have another version of the configuration, and a
+/// request keeps the version under which it was accepted.
 struct ForwardMetadata
 {
     std::string service;
@@ -19,8 +19,7 @@
     bool resumable = false;
     std::int32_t priority = 0;
     std::int32_t attempts = 1;
-    /// What is left of the objective, negative once it has passed, and of the time that the caller
-    /// waits.
+    /// Time left until the objective (negative if it has passed) and until the caller's deadline.
     std::int64_t objectiveLeftMs = 0;
     std::int64_t deadlineLeftMs = 0;
     std::int64_t objectiveMs = 0;
@@ -28,7 +27,7 @@
     std::uint64_t fingerprint = 0;
     std::string fromRegion;
 
-    /// For cereal.
+    /// Serializes the fields for cereal. Their order is part of the wire format.
     template <typename Archive>
     void serialize(Archive &archive)
     {
@@ -37,10 +36,10 @@
     }
 };
 
-/// Header in which the note travels, in hexadecimal.
+/// Header that carries the metadata in hexadecimal.
 inline constexpr const char *ForwardHeader = "Laburnumchute-Forward";
-/// Header by which an instance tells another what is known of a request that it did not answer:
-/// "not-run" or "unknown".
+/// Response header that states whether a forwarded request that failed may have run: "not-run" or
+/// "unknown".
 inline constexpr const char *RunStateHeader = "Laburnumchute-Run-State";
 inline constexpr const char *RunStateNotRun = "not-run";
 inline constexpr const char *RunStateUnknown = "unknown";
--- a/Source/Core/Relay/GossipMessage.h
+++ b/Source/Core/Relay/GossipMessage.h
@@ -10,7 +10,7 @@
 
 namespace LaburnumChute::Relay {
 
-/// One datagram between two instances.
+/// Content of one datagram between two instances.
 using GossipMessage = std::variant<Fleet::Heartbeat, Dispatch::PromptNotices>;
 
 } // namespace LaburnumChute::Relay
--- a/Source/Core/Relay/HttpText.cpp
+++ b/Source/Core/Relay/HttpText.cpp
@@ -13,7 +13,7 @@
 constexpr std::array<std::string_view, 9> HopByHopHeaders = {
     "Connection", "Keep-Alive", "Transfer-Encoding",   "Content-Length", "TE",
     "Trailer",    "Upgrade",    "Proxy-Authorization", "Expect"};
-/// Headers on which the system relies, so that "Connection" cannot name them away.
+/// Headers that are forwarded even if "Connection" lists them, since routing relies on them.
 constexpr std::array<std::string_view, 2> ProtectedHeaders = {"Host", "Connection"};
 
 std::string_view trimmed(std::string_view text)
--- a/Source/Core/Relay/InboundConnection.cpp
+++ b/Source/Core/Relay/InboundConnection.cpp
@@ -14,15 +14,16 @@
 
 namespace http = boost::beast::http;
 
-/// Bytes of further requests that are read while one is served.
+/// Limit for bytes of later requests that are read while one request is served.
 constexpr std::size_t MaxReadAheadBytes = 64 * 1024;
-/// A connection that has been told to go is read this long, since closing it with unread bytes
-/// would reset it and lose the last answer.
+/// Time for which a closing connection is still read. Closing a socket with unread bytes resets the
+/// connection, and the last response is lost.
 constexpr Common::milliseconds LingerTime{1500};
-/// A caller that takes nothing for so long is given up; its answer would hold memory.
+/// A connection whose write does not finish within this time is closed, since the response occupies
+/// memory.
 constexpr Common::milliseconds WriteTimeout{8000};
-/// Idle connections are closed this much later than announced, so that a request which the caller
-/// sends at the last moment is still read.
+/// Idle connections are closed this much later than announced, so that a request sent at the last
+/// moment is still read.
 constexpr Common::milliseconds IdleGracePeriod{2000};
 constexpr std::string_view Continue = "HTTP/1.1 100 Continue\r\n\r\n";
 constexpr unsigned Http11Version = 11;
@@ -106,7 +107,7 @@
     while (state_ == State::Reading && !closed_ && !in_.empty() && parseNext()) { }
 }
 
-/// One step through what was read; false when more is needed.
+/// Parses the next part of the buffered input. Returns false if parsing cannot go on for now.
 bool InboundConnection::parseNext()
 {
     if (!parser_) {
@@ -134,7 +135,8 @@
     return !error && used > 0;
 }
 
-/// What the parser lets pass but would be read differently by an endpoint, or not at all.
+/// Rejects requests that the parser accepts but that an endpoint may interpret differently or not
+/// support.
 bool InboundConnection::validateHead()
 {
     const auto &message = parser_->get();
@@ -253,7 +255,7 @@
         return;
     }
     state_ = State::Reading;
-    // Not from here: the handler that has just answered may still be running.
+    // Posted, since the handler that has just responded may still be on the call stack.
     asio::post(socket_.get_executor(), [self = shared_from_this()] {
         self->parse();
         self->read();
@@ -267,8 +269,8 @@
     }
     onDisconnect_ = nullptr;
     if (!chunked_ && state_ == State::Serving) {
-        // Without chunks the end of the connection is the end of the answer: only a reset shows
-        // that it is not whole.
+        // Without chunked coding the end of the connection marks the end of the response, so only a
+        // reset shows that it is incomplete.
         boost::system::error_code ignored;
         socket_.set_option(asio::socket_base::linger(true, 0), ignored);
         close();
@@ -317,7 +319,7 @@
     if (closeAfterWrite_) {
         linger();
     } else if (onDrained_) {
-        // A copy: the callback may end the answer and with it itself.
+        // Copied, since the callback may finish the response, which clears onDrained_.
         const auto drained = onDrained_;
         drained();
     }
--- a/Source/Core/Relay/InboundConnection.h
+++ b/Source/Core/Relay/InboundConnection.h
@@ -28,49 +28,51 @@
     std::shared_ptr<const std::string> body;
 };
 
-/// One connection of a caller or of another instance. It reads one request at a time and goes on
-/// reading while that is served, so that it notices at once when the other side leaves.
+/// One connection from a caller or a peer. Serves one request at a time and keeps reading
+/// meanwhile, so that a disconnect is noticed immediately.
 class InboundConnection : public std::enable_shared_from_this<InboundConnection>
 {
 public:
-    /// Serves a request; the answer comes by the functions below, at once or later.
+    /// Serves a request. The response is given through the functions below, during the call or
+    /// later.
     using Handler = std::function<void(const std::shared_ptr<InboundConnection> &, InboundRequest)>;
     using LimitsSource = std::function<Catalog::CallerLimits()>;
 
     InboundConnection(asio::ip::tcp::socket socket, LimitsSource limits, Handler handler);
 
     void start(Common::Time now);
-    /// Looks after time limits; to be called every some tens of milliseconds.
+    /// Enforces the time limits. Must be called every few tens of milliseconds.
     void tick(Common::Time now);
-    /// Every further answer closes the connection, and so does being idle.
+    /// Closes the connection after the next response, or immediately if it is idle.
     void closeGracefully();
-    /// The next answer closes the connection; until then it may stay idle.
+    /// Closes the connection after the next response. Until then it may stay idle.
     void closeAfterNextResponse()
     {
         closeAfterResponse_ = true;
     }
 
-    // The answer to the request being served.
+    // Response to the current request.
 
     void respond(unsigned status, Common::Headers headers, std::string_view body);
-    /// The head leaves with the first piece or the end, in one write.
+    /// Starts a streamed response. The header is sent together with the first part or the end.
     void beginStream(unsigned status, Common::Headers headers);
     void sendPart(std::string_view bytes);
     void endStream();
-    /// Ends the connection in the midst of an answer, so that it cannot be taken for a whole one.
+    /// Closes the connection during a response so that the caller sees it as incomplete.
     void abort();
 
-    /// Called once if the other side leaves before its answer is complete.
+    /// Sets a callback that is called once if the remote side disconnects before its response is
+    /// complete.
     void onDisconnect(std::function<void()> callback)
     {
         onDisconnect_ = std::move(callback);
     }
-    /// Called when all that was written has left.
+    /// Sets a callback that is called whenever all written bytes have been passed to the kernel.
     void onDrained(std::function<void()> callback)
     {
         onDrained_ = std::move(callback);
     }
-    /// Bytes that the other side has not taken yet.
+    /// Bytes that have not been passed to the kernel yet.
     std::size_t unsentBytes() const
     {
         return out_.size() + writing_.size();
@@ -84,15 +86,15 @@
         return state_ == State::Serving;
     }
     std::string remoteIp() const;
-    /// Whether the other side has closed its end, also when that has not been read yet.
+    /// Returns true if the remote side has closed its end, even if that has not been read yet.
     bool remoteClosed();
 
 private:
     enum class State {
-        /// Between requests; bytes of the next one may have come.
+        /// Between requests, or in the middle of receiving one.
         Reading,
         Serving,
-        /// The last answer is on its way; what still comes is thrown away.
+        /// The last response has been written; further input is discarded.
         Lingering,
     };
     using Parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
@@ -132,7 +134,7 @@
     bool chunked_ = true;
     bool isHead_ = false;
     bool closeAfterWrite_ = false;
-    /// Last progress in the present state.
+    /// Time of the last progress in the current state.
     Common::Time lastProgressAt_{};
     Common::Time writeSince_{};
 };
--- a/Source/Core/Relay/InboundServer.cpp
+++ b/Source/Core/Relay/InboundServer.cpp
@@ -33,8 +33,8 @@
             if (error == asio::error::operation_aborted) {
                 return;
             }
-            // Beyond the limit a connection is closed unread, so that its caller tries another
-            // instance; out of descriptors, accepting would leave none for endpoints.
+            // Connections beyond the limit are closed unread, so that the caller tries another
+            // instance. Accepting more could use up the descriptors needed for endpoints.
             if (!error && connections_.size() < connectionLimit_) {
                 auto connection =
                     std::make_shared<InboundConnection>(std::move(socket), limits_, handler_);
--- a/Source/Core/Relay/InboundServer.h
+++ b/Source/Core/Relay/InboundServer.h
@@ -10,7 +10,7 @@
 
 namespace LaburnumChute::Relay {
 
-/// Accepts connections at one address.
+/// Accepts connections on one address.
 class InboundServer
 {
 public:
@@ -19,7 +19,8 @@
 
     Common::Result<std::string> listen(const std::string &address);
     void stopAccepting();
-    /// Every connection goes with its next answer, or now if it is idle.
+    /// Closes every connection after its next response, or immediately if it is idle. Connections
+    /// accepted later are closed after their first response.
     void closeGracefully();
     void tick(Common::Time now);
 
@@ -27,7 +28,7 @@
     {
         return connections_.size();
     }
-    /// Requests being served.
+    /// Number of requests being served.
     std::size_t serving() const;
 
 private:
--- a/Source/Core/Relay/OutboundCall.cpp
+++ b/Source/Core/Relay/OutboundCall.cpp
@@ -15,20 +15,21 @@
 namespace http = boost::beast::http;
 
 constexpr std::uint32_t MaxHeaderBytes = 64 * 1024;
-/// More than any answer in use; a stated length beyond it is taken for damage rather than memory.
+/// Larger than any valid response. A Content-Length above it is treated as corrupt, so that no
+/// memory is allocated for it.
 constexpr std::uint64_t MaxBodyBytes = 64u << 20;
-/// Sent bytes that are not acknowledged for so long end the connection. A path that was cut shows
-/// nothing else for minutes.
+/// TCP_USER_TIMEOUT: the connection fails if sent bytes are not acknowledged for this long.
+/// Otherwise a broken network path would go unnoticed for minutes.
 constexpr unsigned TcpUserTimeoutMs = 2000;
-/// An open connection can go silent for good while new ones work; probes of the system show it
-/// after about four seconds.
+/// An established connection can go silent permanently while new ones work. TCP keep-alive probes
+/// detect that after about 4 s.
 constexpr int KeepAliveIdleSeconds = 2;
 constexpr int KeepAliveIntervalSeconds = 1;
 constexpr int KeepAliveProbeCount = 2;
 
 void setOption(asio::ip::tcp::socket &socket, int level, int name, int value)
 {
-    // A connection without this option still works; it only shows a cut path later.
+    // The connection works without this option but detects a broken network path later.
     static_cast<void>(::setsockopt(socket.native_handle(), level, name, &value, sizeof(value)));
 }
 
@@ -110,8 +111,8 @@
     asio::async_write(
         connection_->socket, buffers,
         [self = shared_from_this()](const boost::system::error_code &error, std::size_t) {
-            // After an error the read tells what came of the call: an answer may be
-            // there already.
+            // A write error does not fail the call: the response may already have arrived,
+            // and the pending read determines the outcome.
             self->requestWritten_ = !error;
         });
     read();
@@ -199,7 +200,8 @@
     return !error && used > 0;
 }
 
-/// False when the answer is not the one expected.
+/// Returns false if the response is interim or the call has ended. A response to another request is
+/// marked to be skipped.
 bool OutboundCall::handleHead()
 {
     const auto &message = parser_->get();
--- a/Source/Core/Relay/OutboundCall.h
+++ b/Source/Core/Relay/OutboundCall.h
@@ -18,20 +18,21 @@
 {
     /// "ip:port".
     std::string address;
-    /// Request line and headers, with the empty line.
+    /// Request line and headers, including the empty line.
     std::string head;
     std::shared_ptr<const std::string> body;
-    /// Its answer has no body.
+    /// The method is HEAD, so the response has no body.
     bool isHeadMethod = false;
-    /// A connection that was idle for longer is not used: should it close under the write, nobody
-    /// could say whether the request has run. Zero asks for a new connection.
+    /// A pooled connection that has been idle for longer is not used: if the remote side closed it
+    /// during the write, it would be unknown whether the request has run. 0 requests a new
+    /// connection.
     Common::Duration maxIdle{0};
-    /// How long the other side keeps an idle connection when it does not say so itself.
+    /// Idle timeout of the remote side if its response does not state one.
     std::optional<Common::Duration> assumedIdleTimeout;
     Common::Duration connectTimeout = Common::milliseconds(400);
 };
 
-/// The head of an answer.
+/// Status and headers of a response.
 struct ResponseHead
 {
     unsigned status = 0;
@@ -39,32 +40,33 @@
 };
 
 enum class CallFailure {
-    /// Nothing has been sent: no connection came about, or it was no longer to be used.
+    /// Nothing has been sent: no connection was established, or `maySend` returned false.
     NotConnected,
-    /// The connection broke, or what came is no answer.
+    /// The connection broke, or the received bytes are not a valid response.
     Broken,
 };
 
-/// Called until the call ends, fails or is cancelled; whoever they refer to cancels the call before
-/// it goes away.
+/// Callbacks of a call. None is called after the call has ended, failed or been cancelled. Objects
+/// that they refer to must cancel the call before they are destroyed.
 struct CallEvents
 {
-    /// Called once a new connection is established, before anything is sent. If it returns false,
-    /// the call fails with NotConnected. Optional.
+    /// Called when a new connection has been established, before anything is sent. If it returns
+    /// false, the call fails with NotConnected. Optional.
     std::function<bool()> maySend;
-    /// False when the answer belongs to another request; it is then skipped.
+    /// Returns false if the response belongs to another request; it is then skipped.
     std::function<bool(const ResponseHead &)> head;
     std::function<void(const std::string &)> body;
-    /// The answer is whole.
+    /// The response is complete.
     std::function<void()> end;
     std::function<void(CallFailure, const std::string &reason)> failed;
 };
 
-/// One HTTP/1.1 call on a connection of its own for as long as it lasts.
+/// One HTTP/1.1 call that has exclusive use of a connection while it runs.
 ///
-/// Answers are taken with care: one may come before the request is written, one to an earlier
-/// request may come first, bytes may follow the end, and one without a length ends with its
-/// connection, where only an orderly end makes it whole.
+/// Handles these irregular responses: a response may arrive before the request has been written; a
+/// response to an earlier request may arrive first; bytes may follow the end of the response; and a
+/// response without a length ends with its connection, and is complete only if the connection was
+/// closed cleanly rather than reset.
 class OutboundCall : public std::enable_shared_from_this<OutboundCall>
 {
 public:
@@ -72,9 +74,9 @@
 
     void start(Common::Time now);
     void tick(Common::Time now);
-    /// Ends the call from this side; no event comes any more.
+    /// Ends the call. No callback is called afterwards.
     void cancel();
-    /// Reading stops and goes on, for a receiver that is slower.
+    /// Stops or resumes reading, to apply backpressure for a slow receiver.
     void pause(bool paused);
 
     bool connected() const
--- a/Source/Core/Relay/OutboundPool.cpp
+++ b/Source/Core/Relay/OutboundPool.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-/// Idle connections kept to one address: what an endpoint's batch may need.
+/// Maximum number of idle connections to one address; covers the batch size of an endpoint.
 constexpr std::size_t MaxIdlePerAddress = 64;
-/// Without word of the other side's idle timeout it is taken to be short.
+/// Reuse period if the remote side's idle timeout is unknown; it is assumed to be short.
 constexpr Common::milliseconds DefaultReuseTime{900};
-/// Given up this long before the other side would close it: a request that crosses the close may or
-/// may not have run.
+/// Connections are not reused within this time before the remote side's idle timeout: if a request
+/// is sent while the remote side closes the connection, it is unknown whether it has run.
 constexpr Common::milliseconds IdleTimeoutMargin{700};
 constexpr Common::milliseconds MaxReuseTime{20000};
 
-/// True when the other side has closed the connection or has sent bytes that nobody asked for.
+/// Returns true if the remote side has closed the connection or has sent unexpected bytes.
 bool isUnusable(OutboundConnection &connection)
 {
     char byte = 0;
@@ -39,7 +39,7 @@
         return nullptr;
     }
     auto &connections = found->second;
-    // The one used last: it is the least likely to have been closed meanwhile.
+    // The most recently used connection is the least likely to have been closed.
     while (!connections.empty() && now - connections.back()->idleSince <= maxIdle) {
         auto connection = std::move(connections.back());
         connections.pop_back();
--- a/Source/Core/Relay/OutboundPool.h
+++ b/Source/Core/Relay/OutboundPool.h
@@ -14,7 +14,7 @@
 
 namespace asio = boost::asio;
 
-/// A connection to an endpoint, another instance or the platform's store.
+/// A connection to an endpoint, a peer or the platform's store.
 struct OutboundConnection
 {
     explicit OutboundConnection(asio::io_context &context)
@@ -23,16 +23,16 @@
     }
 
     asio::ip::tcp::socket socket;
-    /// An answer has been read on it before.
+    /// At least one response has been read on this connection.
     bool reused = false;
-    /// When it was last given back, and until when the other side keeps it open.
+    /// When the connection was returned to the pool, and until when it may be reused.
     Common::Time idleSince{};
     Common::Time reusableUntil{};
 };
 
 using OutboundConnectionPtr = std::unique_ptr<OutboundConnection>;
 
-/// Keeps idle connections by address.
+/// Keeps idle connections for reuse, by address.
 class OutboundPool
 {
 public:
@@ -42,13 +42,13 @@
     {
         return context_;
     }
-    /// An idle connection that has been idle no longer than given; null when there is none.
+    /// Returns a connection that has been idle for at most `maxIdle`, or null if there is none.
     OutboundConnectionPtr acquire(const std::string &address, Common::Duration maxIdle,
                                   Common::Time now);
-    /// @param keptFor how long the other side says that it keeps an idle connection
+    /// @param idleTimeout idle timeout of the remote side, if known
     void release(const std::string &address, OutboundConnectionPtr connection,
                  std::optional<Common::Duration> idleTimeout, Common::Time now);
-    /// Closes what has been idle for too long.
+    /// Closes connections that may no longer be reused.
     void closeExpired(Common::Time now);
     std::size_t idleCount() const;
 
--- a/Source/Core/Relay/SimpleFetch.h
+++ b/Source/Core/Relay/SimpleFetch.h
@@ -9,11 +9,11 @@
 
 namespace LaburnumChute::Relay {
 
-/// GET calls whose answers are wanted whole, some at a time.
+/// Runs GET calls concurrently and returns their complete responses.
 class SimpleFetch
 {
 public:
-    /// Status 0 when no answer came; the body then says why.
+    /// Status 0 means that there was no response; the body then contains the reason.
     using CompletionHandler = std::function<void(unsigned status, std::string body)>;
 
     explicit SimpleFetch(std::shared_ptr<OutboundPool> pool);
--- a/Source/Core/Relay/Statuses.h
+++ b/Source/Core/Relay/Statuses.h
@@ -2,7 +2,7 @@
 
 namespace LaburnumChute::Relay {
 
-// HTTP statuses of answers that an instance gives by itself.
+// HTTP statuses of responses that an instance generates itself.
 
 inline constexpr unsigned Ok = 200;
 inline constexpr unsigned BadRequest = 400;
--- a/Source/Core/Relay/SteadyNow.h
+++ b/Source/Core/Relay/SteadyNow.h
@@ -4,7 +4,7 @@
 
 namespace LaburnumChute::Relay {
 
-/// The clock of everything in this library: it goes on evenly when the time of day jumps.
+/// Clock of this library. Monotonic, so that it is not affected by changes of the system time.
 inline Common::Time steadyNow()
 {
     return std::chrono::steady_clock::now();
--- a/Source/Core/Relay/UdpSocket.cpp
+++ b/Source/Core/Relay/UdpSocket.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Holds what a process that was suspended for a second or two finds waiting for it.
+/// Large enough for the datagrams that arrive while the process is suspended for 1 to 2 s.
 constexpr int ReceiveBufferBytes = 256 * 1024;
 
 } // namespace
@@ -39,7 +39,7 @@
         return Common::makeError(Common::ErrorCode::Unavailable,
                                  "cannot bind UDP " + address + ": " + error.message());
     }
-    // A smaller buffer only loses more datagrams.
+    // If this fails, the default buffer is used, and more datagrams may be lost.
     boost::system::error_code ignored;
     socket_.set_option(asio::socket_base::receive_buffer_size(ReceiveBufferBytes), ignored);
     receive();
@@ -53,8 +53,8 @@
                                    if (error == asio::error::operation_aborted) {
                                        return;
                                    }
-                                   // A closed port at a peer comes back as an error of this
-                                   // socket; the next receive works.
+                                   // A closed port at a peer is reported as an error on this
+                                   // socket; later receives still work.
                                    if (!error) {
                                        handler_(std::string_view(buffer_.data(), size));
                                    }
--- a/Source/Core/Relay/UdpSocket.h
+++ b/Source/Core/Relay/UdpSocket.h
@@ -12,7 +12,7 @@
 
 namespace LaburnumChute::Relay {
 
-/// Datagrams between instances.
+/// Sends and receives datagrams between instances.
 class UdpSocket
 {
 public:
@@ -21,8 +21,8 @@
     UdpSocket(boost::asio::io_context &context, Handler handler);
 
     Common::Result<void> open(const std::string &address);
-    /// Sends without waiting. What the system does not take at once is dropped: heartbeats repeat
-    /// themselves.
+    /// Sends without blocking. A datagram that the kernel does not accept immediately is dropped,
+    /// since heartbeats are sent periodically.
     void send(const std::string &address, const std::string &datagram);
 
 private:
