--- a/Source/Core/Relay/PeerSync.cpp
+++ b/Source/Core/Relay/PeerSync.cpp
@@ -11,12 +11,12 @@
 namespace {
 
 constexpr unsigned Ok = 200;
-/// The own watch brings a change as soon as it does a peer's; the calls that gather changes for a
-/// moment differ by less than this.
+/// How long this instance waits for its own store watch before it asks a peer. Watches deliver a
+/// change to all instances at about the same time; delays from batching differ by less than this.
 constexpr Common::milliseconds MaxLag{200};
 constexpr Common::milliseconds RequestTimeout{800};
 constexpr Common::milliseconds RequestInterval{150};
-/// Exceeds the time for which a silent instance still counts as reachable.
+/// Longer than the time for which an unresponsive instance is still considered reachable.
 constexpr Common::milliseconds RecentFailurePeriod{3000};
 constexpr std::string_view RevisionQuery = "?after=";
 
@@ -59,7 +59,7 @@
 const Fleet::Peer *PeerSync::choosePeer(const std::vector<Fleet::Peer> &peers,
                                         Catalog::Revision known, Common::Time now) const
 {
-    // Of the own region if possible: bytes between regions cost more. Then who knows most.
+    // Prefers the own region, since traffic between regions costs more, then the newest revision.
     const auto rank = [this, now](const Fleet::Peer &peer) {
         return std::tuple(!failedRecently(peer.record.id, now), peer.record.region == ownRegion_,
                           peer.record.knownRevision);
@@ -84,7 +84,7 @@
         return;
     }
     behindSince_ = behindSince_.value_or(now);
-    // One that knows nothing yet has no watch to wait for.
+    // An instance that has no data yet has no running watch to wait for.
     const bool waitedEnough = listens || known == 0 || now - *behindSince_ >= MaxLag;
     if (waitedEnough && !requestPending_ && now >= nextRequestAt_) {
         beginRequest(*peer, known, now);
--- a/Source/Core/Relay/PeerSync.h
+++ b/Source/Core/Relay/PeerSync.h
@@ -12,21 +12,22 @@
 
 namespace LaburnumChute::Relay {
 
-/// Where an instance tells others what the memory of its region's engines holds.
+/// Path at which an instance serves the prefix cache contents of its region's engines to peers.
 inline constexpr const char *CachesPath = "/laburnumchute/caches";
 
-/// Target of the call by which an instance asks another for what it lacks.
+/// Path of the request that fetches the store changes after a given revision from a peer.
 inline constexpr std::string_view ItemsPath = "/laburnumchute/items";
 std::string itemsTarget(Catalog::Revision known);
-/// The revision of such a call; nothing for other targets.
+/// Returns the revision in such a target, or nothing if the target is a different one.
 std::optional<Catalog::Revision> parseItemsTarget(std::string_view target);
 
-/// Fetches from other instances what this one lacks of the platform's store.
+/// Fetches missing changes of the platform's store from peers.
 ///
-/// The store may turn away one instance and serve the others, or go silent towards it; its view
-/// would stay old without a sign. Heartbeats tell the revision that each instance knows, and one
-/// that lags behind for longer than the store takes asks an instance that knows more. A peer whose
-/// last request failed recently is asked only if no other reachable peer knows more.
+/// The store may reject one instance, or stop responding to it, while it serves the others; that
+/// instance's data would become stale unnoticed. Heartbeats carry the revision that each instance
+/// has. An instance that stays behind for longer than the store's watch takes asks a peer with a
+/// newer revision. A peer whose last request failed recently is asked only if no other reachable
+/// peer has a newer revision.
 class PeerSync
 {
 public:
@@ -36,7 +37,7 @@
     PeerSync(std::shared_ptr<OutboundPool> pool, Common::RegionName ownRegion,
              ChangesHandler changes);
 
-    /// @param listens this instance does not watch the store and has nothing else to wait for
+    /// @param listens this instance does not watch the store itself, so it asks a peer immediately
     void tick(const std::vector<Fleet::Peer> &peers, Catalog::Revision known, bool listens,
               Common::Time now);
 
@@ -50,7 +51,7 @@
     ChangesHandler onChanges_;
     SimpleFetch fetch_;
     bool requestPending_ = false;
-    /// Time of the last failed request to each peer; removed when a request succeeds.
+    /// Time of the last failed request to each peer; removed when a later request succeeds.
     std::map<Common::InstanceId, Common::Time> lastFailureAt_;
     std::optional<Common::Time> behindSince_;
     Common::Time nextRequestAt_{};
--- a/Source/Core/Relay/Relay.h
+++ b/Source/Core/Relay/Relay.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Public header of the library Relay: an instance that relays requests by host and path to the
-// endpoints of its region, or to an instance of another one.
+// Public header of the Relay library: an instance that relays requests by host and path to the
+// endpoints of its region, or to an instance in another region.
 
 #include "Relay/RelayGateway.h"
 #include "Relay/RelayOptions.h"
--- a/Source/Core/Relay/RelayGateway.cpp
+++ b/Source/Core/Relay/RelayGateway.cpp
@@ -15,19 +15,19 @@
 
 using Common::milliseconds;
 
-/// Granularity of all time limits while requests are under way, and otherwise. A timer for each
-/// read and write would wake the process several times for each event.
+/// Resolution of all time limits while requests are running, and otherwise. One timer for each read
+/// and write would wake the process several times per event.
 constexpr milliseconds BusyTick{20};
 constexpr milliseconds IdleTick{50};
 constexpr milliseconds SettingsReloadInterval{1000};
 constexpr milliseconds HousekeepingInterval{1000};
-/// Descriptors that are left for files, and the part of the rest that connections of callers get:
-/// the others are for endpoints, other instances and the store.
+/// Number of descriptors reserved for files, and the fraction of the others that caller connections
+/// may use; the rest is for connections to endpoints, peers and the store.
 constexpr int ReservedDescriptors = 200;
 constexpr double CallerDescriptorFraction = 0.6;
-/// From the first configuration until the engines' memory is asked about: by then the region's
-/// other instances have answered a heartbeat, so that each engine is asked by one of them. Until it
-/// is known, prompts are read again that some engine holds.
+/// Time from the first configuration until the engines' prefix caches are queried. By then the
+/// peers in the region have answered a heartbeat, so that each engine is queried by only one
+/// instance. Until the contents are known, prompts that some engine has cached are processed again.
 constexpr milliseconds CacheQueryDelay{150};
 constexpr int StandardOutput = 1;
 
@@ -231,7 +231,7 @@
     EventLine line("reload");
     line.add("by_signal", bySignal).add("changed", changed);
     if (!read) {
-        // A file that is being written, or a wrong one: the settings in force stay.
+        // The file is invalid or still being written, so the current settings stay in force.
         settingsText_ = std::move(text);
         line.add("outcome", "kept the old settings").add("reason", read.error().message);
         log_.write(line, now);
@@ -248,7 +248,7 @@
     log_.write(line, now);
 }
 
-// Time.
+// Periodic work.
 
 void RelayGateway::scheduleTick()
 {
@@ -311,7 +311,7 @@
     }
 }
 
-// Stopping.
+// Shutdown.
 
 void RelayGateway::waitForSignal()
 {
@@ -362,7 +362,7 @@
     }
     if (step.rejectConnections) {
         callers_.stopAccepting();
-        // Those that came meanwhile and sent nothing.
+        // Also closes connections that were accepted in the meantime and are idle.
         callers_.closeGracefully();
     }
     if (step.end) {
--- a/Source/Core/Relay/RelayGateway.h
+++ b/Source/Core/Relay/RelayGateway.h
@@ -48,8 +48,8 @@
 };
 
 /// One instance that relays requests by host and path to the endpoints of its region, or to an
-/// instance of another region. Everything runs on one thread: a machine has a fraction of a core,
-/// and handing a request from thread to thread would cost more than serving it.
+/// instance in another region. Everything runs on one thread: an instance has only a fraction of a
+/// core, and passing a request between threads would cost more than serving it.
 class RelayGateway
 {
 public:
@@ -59,10 +59,10 @@
     RelayGateway &operator=(const RelayGateway &) = delete;
 
     Common::Result<void> start();
-    /// Serves until SIGTERM or SIGINT, then shuts down without cutting off a request.
+    /// Serves until SIGTERM or SIGINT, then shuts down gracefully, within the shutdown time limit.
     void run();
 
-    // For the requests under way.
+    // Used by running requests.
 
     Dispatch::Scheduler &scheduler()
     {
@@ -85,7 +85,7 @@
         return settings_;
     }
     void applyEffects(const Dispatch::Effects &effects, Common::Time now);
-    /// An instance of the region that can be reached.
+    /// Returns a random instance in the region that is reachable and ready, if there is one.
     std::optional<Fleet::InstanceRecord> findPeerIn(const Common::RegionName &region);
     void removeCall(Dispatch::CallId call);
 
@@ -98,8 +98,8 @@
     void serveDirectory(const Connection &connection, const InboundRequest &request);
     void serveMetrics(const Connection &connection, const InboundRequest &request);
     void servePrefixCaches(const Connection &connection);
-    /// A new process asks the region's engines, and an instance that has run for longer, what the
-    /// engines' memory holds.
+    /// Queries the prefix cache contents after startup, from the region's engines and from a peer
+    /// in the region.
     void queryPrefixCaches(Common::Time now);
     void serveItems(const Connection &connection, Catalog::Revision known);
     void rejectRequest(const Connection &connection, unsigned status, const std::string &requestId,
@@ -108,9 +108,9 @@
     Common::Result<RelayPlan> parseForwarded(const InboundRequest &request,
                                              const std::string &metadata, Common::Time now) const;
     bool exceedsBodyMemory(const InboundRequest &request) const;
-    /// Time since the catalog was known to match the store; nothing when it never was.
+    /// Time since the catalog was known to match the store, or nothing if it never was.
     std::optional<Common::Duration> catalogAge(Common::Time now) const;
-    /// The store, or a peer that hears it, has answered lately.
+    /// Returns true if the catalog matched the store recently, directly or through a peer.
     bool isCatalogFresh(Common::Time now) const;
     bool storeSettled(Common::Time now) const;
 
@@ -119,7 +119,7 @@
     void endpointsChanged(Common::Time now);
     void handleDatagram(std::string_view datagram);
     void handleHeartbeat(const Fleet::Heartbeat &heartbeat, Common::Time now);
-    /// Tells the region's other instances what was sent since the last tick.
+    /// Sends the pending prompt notices to the peers in the region.
     void sendPromptNotices();
     void sendAll(const Fleet::Sends &sends);
     void fleetChanged(Common::Time now);
@@ -167,7 +167,7 @@
     std::vector<Fleet::Peer> knownPeers_;
     Fleet::WatchDuty duty_ = Fleet::WatchDuty::Watches;
     std::map<Common::InstanceId, bool> peerAlive_;
-    /// Updated once per tick rather than on each answer, so that it predates the changes being
+    /// Updated once per tick rather than on each response, so that it predates the changes being
     /// applied.
     std::optional<Common::Time> catalogCompleteAt_;
     Common::Time heartbeatAt_{};
--- a/Source/Core/Relay/RelayKnowledge.cpp
+++ b/Source/Core/Relay/RelayKnowledge.cpp
@@ -8,7 +8,7 @@
 
 namespace LaburnumChute::Relay {
 
-// What is known.
+// Catalog.
 
 void RelayGateway::applyChanges(const Catalog::ItemChanges &changes, const std::string &source)
 {
@@ -95,7 +95,8 @@
     return age && *age < settings_.bounds.configuration;
 }
 
-/// A listener has no trouble of its own to judge by: that of the instances it hears counts.
+/// An instance that does not watch the store itself sees no failures of its own, so the reachable
+/// peers in the region count as well.
 bool RelayGateway::storeSettled(Common::Time now) const
 {
     const bool peersSettled =
@@ -111,7 +112,7 @@
     return catalog_.routes() != nullptr && catalog_.items().upTo() > 0 && !shutdown_;
 }
 
-// Other instances.
+// Peers.
 
 void RelayGateway::sendAll(const Fleet::Sends &sends)
 {
--- a/Source/Core/Relay/RelayOptions.h
+++ b/Source/Core/Relay/RelayOptions.h
@@ -10,13 +10,13 @@
 
 namespace LaburnumChute::Relay {
 
-/// All that a relaying instance is told by flags and environment; the rest stands in the settings
-/// file of the platform.
+/// Options that a relaying instance gets from flags and the environment. The others are in the
+/// platform's settings file.
 struct RelayOptions
 {
     /// Path of the settings file.
     std::string settingsPath;
-    /// Port of the metrics and the state dump; 0 for none.
+    /// Port for metrics and the state dump; 0 disables it.
     std::uint16_t metricsPort = 0;
     EventLog::Options log;
     Dispatch::DispatchOptions dispatch;
--- a/Source/Core/Relay/RelayRequests.cpp
+++ b/Source/Core/Relay/RelayRequests.cpp
@@ -13,14 +13,14 @@
 
 using Common::milliseconds;
 
-/// A new process has the configuration from a neighbour or the store within half a second.
+/// A new process gets the configuration from a peer or the store within half a second.
 constexpr milliseconds UnknownConfigurationRetryAfter{500};
-/// Bodies are held for as long as a request lasts, about a second.
+/// Bodies are kept in memory until their request ends, about a second.
 constexpr milliseconds MemoryRetryAfter{1000};
-/// Callers that are sent elsewhere have another instance's address already.
+/// Callers already have the address of another instance.
 constexpr milliseconds StoppingRetryAfter{50};
-/// Part of the memory that bodies of requests may take; the rest is for the program, its
-/// connections and answers on their way.
+/// Fraction of the memory that request bodies may use; the rest is for the program, its connections
+/// and buffered responses.
 constexpr double BodyMemoryFraction = 0.35;
 
 } // namespace
@@ -76,7 +76,7 @@
     const auto *host = Common::findHeader(request.headers, "Host");
     const auto *route = host != nullptr ? routes->find(*host, request.target) : nullptr;
     if (route == nullptr && !isCatalogFresh(now)) {
-        // The route may have been added since the store was last heard.
+        // The route may have been added since the last response of the store.
         rejectRequest(connection, ServiceUnavailable, head->requestId,
                       "the configuration may be old", UnknownConfigurationRetryAfter);
         return;
@@ -239,8 +239,8 @@
             std::visit(Visitor{std::move(call), now}, effect);
         }
     }
-    // At once: until they hear of it, others take the engine that was just sent a long prompt for
-    // the least busy one.
+    // Sent immediately, since peers consider an engine that was just sent a long prompt to be the
+    // least busy one until they receive the notice.
     sendPromptNotices();
 }
 
--- a/Source/Core/Relay/RelayServers.cpp
+++ b/Source/Core/Relay/RelayServers.cpp
@@ -14,8 +14,8 @@
 
 using Common::milliseconds;
 
-/// Callers keep the directory's answers for this long, some three times as long: short enough that
-/// they have left an instance before it stops.
+/// Callers cache directory responses for this long, and some for three times as long. Short enough
+/// for them to have left an instance before it stops.
 constexpr milliseconds DirectoryLifetime{1000};
 constexpr milliseconds CacheTimeout{1000};
 constexpr std::string_view MetricsPath = "/metrics";
@@ -23,7 +23,7 @@
 
 } // namespace
 
-// Other servers.
+// Handlers of the peer, readiness, directory and metrics servers.
 
 void RelayGateway::serveItems(const Connection &connection, Catalog::Revision known)
 {
@@ -52,7 +52,8 @@
                     line.add("parts", static_cast<std::int64_t>(parts->size()));
                     scheduler_.setCache(id, *parts, at);
                 } else {
-                    // Without it prompts are read that the engine may hold.
+                    // Without the list, prompts that the engine has cached may be processed
+                    // again elsewhere.
                     line.add("reason", status == Ok ? parts.error().message : body);
                 }
                 log_.write(line, at);
--- a/Source/Core/Relay/RelayedCall.cpp
+++ b/Source/Core/Relay/RelayedCall.cpp
@@ -20,27 +20,28 @@
 constexpr unsigned FirstRedirect = 300;
 constexpr unsigned FirstServerError = 500;
 
-/// A request that may run only once goes on a connection that was in use this recently: an endpoint
-/// closes idle ones after a second at the least, and one that closes under the write leaves nobody
-/// knowing whether it has run.
+/// A request that may run only once uses a pooled connection only if it was in use this recently.
+/// Endpoints close idle connections after 1 s or more; if one is closed during the write, it is
+/// unknown whether the request has run.
 constexpr milliseconds NonRepeatableMaxIdle{400};
 constexpr milliseconds RepeatableMaxIdle{20000};
-/// Instances keep idle connections between them for at least the callers' idle timeout.
+/// Peers keep idle connections open for at least the callers' idle timeout.
 constexpr milliseconds PeerIdleTimeout{10000};
 constexpr milliseconds PeerConnectTimeout{700};
-/// Bytes that a slow caller may leave with this process before its endpoint is read no further.
+/// Unsent bytes of a slow caller above which reading from the endpoint is paused.
 constexpr std::size_t MaxUnsentBytes = 128 * 1024;
-/// Answers of plain services are kept whole up to this size.
+/// Size limit of responses that are buffered until they are complete.
 constexpr std::size_t MaxBufferedResponseBytes = 8u << 20;
-/// A stream that pauses for so many of its usual longest pauses has stalled.
+/// A stream has stalled after a pause of this many times the route's longest pause between events.
 constexpr int StallGapFactor = 3;
 constexpr milliseconds MinStallTime{1000};
 constexpr milliseconds TimeoutRetryAfter{700};
-/// The endpoint's default urgency is 5; what is less urgent than most goes behind it.
+/// Urgency sent to endpoints; higher numbers are less urgent. Endpoints default to 5, so requests
+/// of low priority are placed behind requests without an urgency.
 constexpr int HighestPriorityUrgency = 3;
 constexpr int LowestUrgency = 9;
 
-/// Statuses that promise that a request has not run.
+/// Returns true for statuses that guarantee that the request has not run.
 bool meansNotRun(unsigned status)
 {
     return status == 408 || status == 421 || status == 429 || status == 503;
@@ -118,7 +119,7 @@
     lastEventAt_ = now;
     everSent_ = true;
     CallEvents events;
-    // The endpoint may start leaving or be evacuated while the connection is being established.
+    // The endpoint may begin to leave or be evacuated while the connection is being established.
     events.maySend = [this] { return gateway_.scheduler().maySend(plan_.facts.id); };
     events.head = [this](const ResponseHead &head) { return handleHead(head); };
     events.body = [this](const std::string &bytes) { handleBody(bytes); };
@@ -130,10 +131,10 @@
     call_->start(now);
 }
 
-/// A process that lacks processor time reads requests late, some of them after their callers have
-/// given up: the close stands behind the request in the same socket. Sent on, they would take
-/// places from requests that are still wanted, just when there are too few. Endpoints see requests
-/// that are cancelled as soon as they begin.
+/// A process that is short of CPU time reads some requests only after their callers have
+/// disconnected: the close is queued behind the request in the same socket. Sending these requests
+/// would take slots from others just when slots are scarce, and endpoints would see requests that
+/// are cancelled as soon as they start.
 bool RelayedCall::abandonIfCallerLeft(Common::Time now)
 {
     if (!connection_->remoteClosed()) {
@@ -236,7 +237,7 @@
     return response_.status >= FirstSuccess && response_.status < FirstRedirect;
 }
 
-/// What another instance says of a request that it has not answered.
+/// Reads from a peer's response whether a request that failed there may have run.
 void RelayedCall::readPeerState(const ResponseHead &head)
 {
     const auto *state = Common::findHeader(head.headers, RunStateHeader);
@@ -245,7 +246,7 @@
     }
 }
 
-/// A missing limit counts only in sealed answers, which come from the endpoint itself.
+/// A missing limit is conclusive only in signed responses, which come from the endpoint itself.
 void RelayedCall::recordLimit(const Dialect::AnswerFacts &facts, Common::Time now)
 {
     const bool conclusive = facts.limitPerSecond || facts.sealed;
@@ -295,7 +296,7 @@
         return true;
     }
     if (isSuccess() && (!facts.sealed || facts.requestId.empty())) {
-        // Nobody vouches for such an answer; bytes of a faulty endpoint may look like one.
+        // The response is not authenticated; a faulty endpoint may have produced it.
         call_->cancel();
         handleFailure(CallFailure::Broken, "a success without the endpoint's signature");
         return true;
@@ -523,7 +524,7 @@
     callerDisconnected_ = true;
     gateway_.metrics().abandoned.add();
     gateway_.scheduler().withdraw(plan_.facts.id, now);
-    // An order under way is seen through: its caller may ask what became of it.
+    // A running at-most-once request runs to completion: its caller may ask for the outcome.
     const bool runsToCompletion = call_ && plan_.facts.kind == Dispatch::RequestKind::AtMostOnce;
     if (runsToCompletion) {
         return;
--- a/Source/Core/Relay/RelayedCall.h
+++ b/Source/Core/Relay/RelayedCall.h
@@ -16,24 +16,24 @@
 
 class RelayGateway;
 
-/// What is fixed of a request as it is taken in.
+/// The properties of a request that are fixed when it is accepted.
 struct RelayPlan
 {
     Dispatch::CallFacts facts;
     Dialect::CallerHead head;
-    /// Of the caller, without what concerns its connection alone.
+    /// Headers of the caller without the hop-by-hop ones.
     Common::Headers headers;
     std::string method;
     std::string target;
     std::shared_ptr<const std::string> body;
     bool resumable = false;
     std::optional<Common::milliseconds> gap;
-    /// It came from another instance, which tells its caller.
+    /// The request was forwarded by a peer, which passes the outcome on to the caller.
     bool fromPeer = false;
 };
 
-/// One request on its way: carries out what the scheduler decides, passes the answer back, and
-/// answers by itself what got no answer.
+/// A running request. Executes the scheduler's decisions and passes the response back to the
+/// caller, or generates an error response if there is none.
 class RelayedCall : public std::enable_shared_from_this<RelayedCall>
 {
 public:
@@ -44,7 +44,7 @@
     void start(Common::Time now);
     void tick(Common::Time now);
 
-    // What the scheduler decides.
+    // Decisions of the scheduler.
 
     void send(const Dispatch::Send &effect, Common::Time now);
     void forward(const Dispatch::Forward &effect, Common::Time now);
@@ -62,16 +62,16 @@
     }
 
 private:
-    /// How the answer under way is handled.
+    /// How the current response is handled.
     enum class ResponseMode {
         None,
-        /// Passed on event by event.
+        /// Passed on event by event as it arrives.
         Streamed,
-        /// Kept until it is whole.
+        /// Buffered until it is complete.
         Buffered,
-        /// The endpoint or instance says that it has not run the request.
+        /// The endpoint or peer states that it has not run the request.
         NotRun,
-        /// Another instance does not know what became of it.
+        /// The peer does not know whether the request has run.
         Unknown,
     };
     struct KeptResponse
@@ -98,7 +98,7 @@
     void sendOwnResponse(unsigned status, const std::string &detail,
                          std::optional<Common::milliseconds> retryAfter, bool notRun);
     void handleCallerDisconnect();
-    /// Ends the request instead of sending it when its caller has left; true if so.
+    /// Ends the request instead of sending it if its caller has disconnected. Returns true if so.
     bool abandonIfCallerLeft(Common::Time now);
     void timeOut(Common::Time now);
     void finish(const char *outcome);
@@ -110,18 +110,19 @@
     std::shared_ptr<OutboundCall> call_;
     ResponseMode responseMode_ = ResponseMode::None;
     KeptResponse response_;
-    /// The last answer of an endpoint that another try may still replace.
+    /// Last error response of an endpoint. Passed on if no later attempt succeeds.
     std::optional<KeptResponse> lastErrorResponse_;
     EventCutter cutter_;
     Common::EndpointId endpoint_;
     Common::InstanceId peer_;
     Common::Time sentAt_{};
     Common::Time lastEventAt_{};
-    /// From taking the request to the first event passed on, and the longest pause after it.
+    /// Time from the arrival of the request to the first event passed on, and the longest pause
+    /// after that.
     std::optional<Common::Duration> firstEventAfter_;
     Common::Duration longestPause_{0};
     int eventsPassedOn_ = 0;
-    /// Rate limit stated in the last answer of an endpoint.
+    /// Rate limit stated in the last response of an endpoint.
     std::optional<double> limitPerSecond_;
     Common::Duration expected_{0};
     std::string lastReason_;
--- a/Source/Core/Relay/ShutdownPlan.cpp
+++ b/Source/Core/Relay/ShutdownPlan.cpp
@@ -6,21 +6,21 @@
 
 using Common::milliseconds;
 
-/// Callers ask the directory again after a second, some after three times that, and then leave the
-/// instance by themselves.
+/// Callers query the directory again after 1 s, some after 3 s, and then leave the instance on
+/// their own.
 constexpr milliseconds CloseAfter{2200};
-/// A request that is taken later than this may still run when the process is ended by force: a
-/// caller waits up to eight seconds, and so long is the time to stop. It would lose its answer.
-/// Callers see a connection that broke in the midst of an answer. Refused, they try another
+/// A request accepted later than this could still be running when the process is killed: callers
+/// wait for up to 8 s, and the shutdown time limit is 8 s as well. Its response would be lost and
+/// the caller would see a broken connection, while a rejected request is retried at another
 /// instance.
 constexpr milliseconds RejectRequestsAfter{2800};
 constexpr milliseconds RejectConnectionsAfter{3200};
-/// A process that ends while a caller's bytes are unread resets that connection, and an answer that
-/// is still on its way is lost with it: connections get this long to end in order. It is a little
-/// more than the time for which a closing connection is read on.
+/// Time for connections to close cleanly. If the process exits while bytes of a caller are unread,
+/// the connection is reset and a response in transit is lost. Slightly longer than the time for
+/// which a closing connection is still read.
 constexpr milliseconds ConnectionCloseTime{1700};
-/// What is still under way this long before the end by force is cut off here, so that the log says
-/// which requests these were.
+/// Requests that are still running this long before the process would be killed are cut off by the
+/// process itself, so that the log states which ones.
 constexpr milliseconds ForcedExitMargin{300};
 
 } // namespace
--- a/Source/Core/Relay/ShutdownPlan.h
+++ b/Source/Core/Relay/ShutdownPlan.h
@@ -6,34 +6,33 @@
 
 namespace LaburnumChute::Relay {
 
-/// What a process that was asked to stop still does.
+/// What a process does at a given time during shutdown.
 struct ShutdownStep
 {
-    /// Answers close their connections, and idle connections are closed.
+    /// Close idle connections, and the others after their next response.
     bool closeConnections = false;
-    /// Requests that still come are told to go elsewhere.
+    /// Reject new requests, so that callers use another instance.
     bool rejectRequests = false;
-    /// No new connection is taken.
+    /// Accept no new connections.
     bool rejectConnections = false;
-    /// The process ends now.
+    /// Exit the process.
     bool end = false;
 };
 
-/// The order in which a process withdraws after the request to stop. Knows neither sockets nor
-/// clocks.
+/// The sequence of steps of a graceful shutdown. Uses neither sockets nor clocks.
 ///
-/// Callers learn from the directory that the instance leaves and go on using it for a while, so it
-/// serves as before at first; a process that stopped taking requests at once would cut off all of
-/// them. The steps then follow each other far enough apart that what the step before let in has
-/// ended.
+/// Callers learn from the directory that the instance is leaving and keep using it for a while, so
+/// it serves normally at first; a process that stopped accepting requests immediately would cut off
+/// all of these callers. The later steps are far enough apart for the work accepted before each one
+/// to finish.
 class ShutdownPlan
 {
 public:
-    /// @param bound from the request to stop to the end by force
+    /// @param bound time from the stop request until the process is killed
     ShutdownPlan(Common::Time requestedAt, Common::Duration bound);
 
-    /// @param requests under way
-    /// @param connections of callers that are open
+    /// @param requests number of running requests
+    /// @param connections number of open caller connections
     ShutdownStep step(std::size_t requests, std::size_t connections, Common::Time now) const;
 
 private:
--- a/Source/Core/Relay/StoreWatcher.cpp
+++ b/Source/Core/Relay/StoreWatcher.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// A listing has no wait; the store answers in milliseconds.
+/// A listing does not wait for changes, so the store answers it within milliseconds.
 constexpr Common::milliseconds ListTimeout{1000};
 constexpr Common::milliseconds StoreIdleTimeout{5000};
 
@@ -91,7 +91,7 @@
         call_.reset();
         handleFailure("no answer in time", now);
     }
-    // A listing that was begun is finished: the first one makes the instance ready.
+    // A started listing is always completed, since the instance becomes ready with the first one.
     const bool wanted = duty_ != Fleet::WatchDuty::Listens || step_ == Step::List;
     if (!call_ && wanted && now >= nextCallAt_) {
         beginCall(now);
@@ -161,7 +161,8 @@
     if (listAfter_.empty()) {
         listing_ = {};
         listing_.complete = true;
-        // Items may change between two pages; what the first page says is certain.
+        // Items may change between two pages, so only the revision of the first page is certain to
+        // be covered.
         listing_.upTo = page->revision;
     }
     std::move(page->items.begin(), page->items.end(), std::back_inserter(listing_.items));
--- a/Source/Core/Relay/StoreWatcher.h
+++ b/Source/Core/Relay/StoreWatcher.h
@@ -12,34 +12,36 @@
 
 namespace LaburnumChute::Relay {
 
-/// How the platform's store answers.
+/// Whether the platform's store answers.
 enum class StoreState { Unknown, Answering, Failing };
 
-/// Keeps the catalog in step with the platform's store: a listing first, then one call that waits
-/// for changes, again and again; a new listing when the store has forgotten what happened since.
+/// Synchronizes the catalog with the platform's store: a full listing first, then repeated
+/// long-polling calls that wait for changes. Starts over with a listing if the store no longer has
+/// the history since the known revision.
 class StoreWatcher
 {
 public:
     struct Options
     {
-        /// Of the waiting call. A silent store looks like a calm one: this and the margin bound the
-        /// time until the difference is seen.
+        /// Maximum wait of a long-polling call. A store that does not respond looks like one
+        /// without changes; this and the margin bound the time until that is detected.
         Common::milliseconds wait{1000};
         Common::milliseconds margin{450};
-        /// After the first failed call; doubled up to the maximum.
+        /// Retry delay after the first failed call; doubled after each further one up to the
+        /// maximum.
         Common::milliseconds retryFirst{50};
         Common::milliseconds retryMax{400};
-        /// Between two waiting calls when the first brought changes: those that follow within this
-        /// time come together, and each call has a price.
+        /// Delay before the next long-polling call after one that returned changes, so that changes
+        /// that follow within this time are fetched together. The number of calls is a cost.
         Common::milliseconds pause{60};
-        /// Between two calls of an instance that is no watcher and only looks whether the store
-        /// answers it.
+        /// Minimum retry delay of an instance that does not watch the store and only checks whether
+        /// the store answers it.
         Common::milliseconds probeInterval{1500};
     };
 
-    /// Told of each answer: changes, or none.
+    /// Called for each response, including those without changes.
     using ChangesHandler = std::function<void(const Catalog::ItemChanges &)>;
-    /// Told when the store is lost or back, with the reason.
+    /// Called with the reason when the store stops answering, and when it answers again.
     using StateHandler = std::function<void(StoreState, const std::string &reason)>;
 
     StoreWatcher(std::shared_ptr<OutboundPool> pool, Options options, ChangesHandler changes,
@@ -48,17 +50,17 @@
 
     void setAddress(const std::string &address);
     void setOptions(const Options &options);
-    /// Whether calls are made, and how often.
+    /// Sets whether calls are made, and how often.
     void setDuty(Fleet::WatchDuty duty);
     void tick(Common::Time now);
-    /// Changes up to the revision have come from elsewhere.
+    /// Notes that changes up to the revision have been received from elsewhere.
     void advance(Catalog::Revision revision);
 
-    /// Time since the last answer; nothing when the store has never answered this process.
+    /// Time since the last response, or nothing if the store has never answered this process.
     std::optional<Common::Duration> answerAge(Common::Time now) const;
-    /// The store has answered without a break for so long.
+    /// Returns true if there has been no failure for longer than `Catalog::StoreSettled`.
     bool settled(Common::Time now) const;
-    /// The store's contents have been read once.
+    /// Returns true once a listing has been read completely.
     bool listed() const
     {
         return listed_;
