--- a/Source/UnitTests/Relay/DirectoryAnswerTest.cpp
+++ b/Source/UnitTests/Relay/DirectoryAnswerTest.cpp
@@ -30,9 +30,9 @@
     EXPECT_EQ(addresses, (std::vector<std::string>{"n1", "n2"}));
 }
 
-// All instances of the callers' region leave together. Most routes may be served in central or
-// north; a few that hardly anyone uses are bound to one region each. Callers led to the south would
-// send their requests to an instance that must not read them.
+// All instances in the callers' region are shutting down. Most routes allow central or north; a few
+// rarely used ones allow only one region. Callers sent to south would reach an instance that must
+// not read their requests.
 TEST(DirectoryAnswerTest, WithoutOwnRegionListsTheHomeRegionsOfMostRoutes)
 {
     const std::vector<std::vector<RegionName>> homes = {
@@ -51,9 +51,9 @@
     EXPECT_EQ(addresses, (std::vector<std::string>{"c1", "s1"}));
 }
 
-// The instances are replaced one after the other: those of the caller's region and of the only
-// other home are about to stop, the next one has not started yet. They still serve for seconds; an
-// instance of a region that is no home must not read the requests at all.
+// During a rolling replacement, the instances in the caller's region and in the only other home
+// region are shutting down, and no new one has started yet. They still serve for several seconds,
+// while an instance outside the home regions must not read the requests at all.
 TEST(DirectoryAnswerTest, PrefersLeavingInstancesOverThoseOutsideTheHomeRegions)
 {
     auto candidates = AllCandidates;
@@ -66,8 +66,8 @@
     EXPECT_EQ(addresses, (std::vector<std::string>{"c1"}));
 }
 
-// The regions that are allowed have no instance left: an answer from elsewhere, which can at least
-// say what is wrong, is better than none.
+// No instance is left in the allowed regions. An instance elsewhere can at least return an error
+// with a reason.
 TEST(DirectoryAnswerTest, ListsAnyInstanceIfNoHomeRegionHasOne)
 {
     const std::vector<std::vector<RegionName>> homes = {{RegionName("north")}};
--- a/Source/UnitTests/Relay/EventCutterTest.cpp
+++ b/Source/UnitTests/Relay/EventCutterTest.cpp
@@ -23,8 +23,8 @@
     EXPECT_EQ(cutter.lastId(), "7");
 }
 
-// An endpoint breaks off inside an event, and another one goes on after the last whole one. Half an
-// event that was passed on would be joined with the whole one of the other run.
+// A stream breaks inside an event and is resumed at another endpoint after the last complete event.
+// If the partial event were passed on, it would be joined with the complete one.
 TEST(EventCutterTest, IncompleteEventIsDiscardedOnRestart)
 {
     EventCutter cutter;
@@ -33,7 +33,7 @@
     EXPECT_EQ(cutter.feed("id: 2\ndata: whole\n\n"), "id: 2\ndata: whole\n\n");
 }
 
-// The endpoint that goes on sends some events again that the caller has.
+// The endpoint that resumes the stream repeats events that the caller already has.
 TEST(EventCutterTest, RepeatedEventsAreSkippedAfterRestart)
 {
     EventCutter cutter;
--- a/Source/UnitTests/Relay/EventLogTest.cpp
+++ b/Source/UnitTests/Relay/EventLogTest.cpp
@@ -84,8 +84,8 @@
     EXPECT_EQ(written[0]["sent"], true);
 }
 
-// Ten times the usual requests come. The log stays within its bound, says how much it left out, and
-// another kind of line, of which there are few, is not lost with them.
+// At ten times the usual request rate, the log volume must stay bounded, the number of dropped
+// lines must be reported, and rare events must not be dropped.
 TEST_F(EventLogTest, VolumeIsBoundedUnderTenTimesTheLoad)
 {
     auto events = makeLog(100);
@@ -113,7 +113,7 @@
     EXPECT_EQ(sendLines + dropped, Seconds * 1000);
 }
 
-// Whoever reads the log has stopped. A write that waits for it would stop every request.
+// The log reader has stopped reading. A blocking write would stall all requests.
 TEST_F(EventLogTest, FullPipeDoesNotBlock)
 {
     auto events = makeLog(1e9);
@@ -125,7 +125,7 @@
     }
     events.flush(now_);
     EXPECT_LT(std::chrono::steady_clock::now() - start, std::chrono::seconds(5));
-    // The last line may be there in part.
+    // The last line may be incomplete.
     EXPECT_FALSE(readText().empty());
 }
 
--- a/Source/UnitTests/Relay/HttpTextTest.cpp
+++ b/Source/UnitTests/Relay/HttpTextTest.cpp
@@ -24,8 +24,8 @@
     EXPECT_EQ(headers[0].name, "X-Kept");
 }
 
-// A caller names the host among the headers of its connection. Without it no route would be found,
-// or the endpoint would read the request as another one's.
+// A caller lists Host in its Connection header. If Host were removed, no route would be found, or
+// the endpoint would attribute the request to another host.
 TEST(HttpTextTest, ConnectionHeaderCannotRemoveHost)
 {
     EXPECT_EQ(endToEndHeaders({{"Connection", "host"}, {"Host", "h"}}).size(), 1U);
--- a/Source/UnitTests/Relay/InboundConnectionTest.cpp
+++ b/Source/UnitTests/Relay/InboundConnectionTest.cpp
@@ -93,8 +93,9 @@
     EXPECT_EQ(*requests_[0].body, "abcde");
 }
 
-// A request states its length in two ways, or in a coding that an endpoint may read differently.
-// The part that only one of the two sees would be a request of its own there.
+// Request smuggling: the request has conflicting lengths, or a transfer coding that an endpoint may
+// interpret differently. Bytes that only one of the two considers part of the body would be a
+// separate request for the other.
 TEST_F(InboundConnectionTest, RequestSmugglingIsRejected)
 {
     const std::vector<std::string> heads = {
@@ -131,7 +132,7 @@
     EXPECT_EQ(receivedText().substr(0, 12), "HTTP/1.1 431");
 }
 
-// A caller sends its head a byte at a time and would hold the connection for ever.
+// A caller that sends its header very slowly would occupy the connection indefinitely.
 TEST_F(InboundConnectionTest, SlowHeaderTimesOut)
 {
     limits_.headerTimeout = Common::milliseconds(80);
@@ -140,8 +141,8 @@
     EXPECT_EQ(receivedText().substr(0, 12), "HTTP/1.1 408");
 }
 
-// The caller leaves while its request is being served. Until that is known its endpoint works for
-// nobody.
+// The caller disconnects while its request is being served. Until that is noticed, the endpoint
+// does useless work.
 TEST_F(InboundConnectionTest, DisconnectDuringRequestIsNoticedImmediately)
 {
     bool disconnected = false;
@@ -176,7 +177,7 @@
     EXPECT_FALSE(closed_);
 }
 
-// An endpoint fails in the midst of a stream. The caller must see that it is not whole.
+// An endpoint fails during a stream. The caller must see that the response is incomplete.
 TEST_F(InboundConnectionTest, AbortedResponseIsIncomplete)
 {
     std::shared_ptr<InboundConnection> held;
@@ -191,8 +192,8 @@
     EXPECT_EQ(text.find("0\r\n\r\n"), std::string::npos);
 }
 
-// The instance is asked to stop. Its callers learn with their next answer that they should go, and
-// no answer is lost in a reset.
+// During shutdown, the next response tells the caller to close the connection, and no response is
+// lost in a connection reset.
 TEST_F(InboundConnectionTest, ClosingConnectionStillSendsTheResponse)
 {
     sendBytes("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
--- a/Source/UnitTests/Relay/OutboundCallTest.cpp
+++ b/Source/UnitTests/Relay/OutboundCallTest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// What became of a call.
+/// Outcome of a call.
 struct Outcome
 {
     std::vector<unsigned> statuses;
@@ -32,7 +32,7 @@
         return request;
     }
 
-    /// Runs one call to its end. An answer is ours unless it bears the header "Foreign".
+    /// Runs one call to its end. A response with the header "Foreign" belongs to another request.
     Outcome call(OutboundRequest request, std::function<bool()> maySend = nullptr)
     {
         Outcome outcome;
@@ -70,7 +70,7 @@
     return [bytes](tcp::socket &socket) {
         ScriptedServer::readHead(socket);
         ScriptedServer::write(socket, bytes);
-        // The connection stays open until the answer has been read.
+        // Keeps the connection open until the response has been read.
         std::this_thread::sleep_for(std::chrono::milliseconds(150));
     };
 }
@@ -113,7 +113,7 @@
     EXPECT_EQ(received, 0U);
 }
 
-// The endpoint resets the connection after the request has been sent. It may have run it.
+// The endpoint resets the connection after the request has been sent, so the request may have run.
 TEST_F(OutboundCallTest, ResetAfterTheRequestIsBroken)
 {
     ScriptedServer server({[](tcp::socket &socket) {
@@ -129,7 +129,8 @@
     EXPECT_EQ(call(request(server.address())).failure, CallFailure::Broken);
 }
 
-// The endpoint breaks off inside its answer. Passed on as it is, half an answer would look whole.
+// The endpoint closes the connection inside its response. A truncated response must not be passed
+// on as complete.
 TEST_F(OutboundCallTest, TruncatedResponseIsAFailure)
 {
     ScriptedServer server({[](tcp::socket &socket) {
@@ -153,7 +154,7 @@
     EXPECT_EQ(pool_->idleCount(), 0U);
 }
 
-// The same, but the connection is reset: what came may be a part.
+// As above, but the connection is reset, so the response may be incomplete.
 TEST_F(OutboundCallTest, ResetResponseWithoutLengthIsIncomplete)
 {
     ScriptedServer server({[](tcp::socket &socket) {
@@ -167,8 +168,7 @@
     EXPECT_EQ(outcome.failure, CallFailure::Broken);
 }
 
-// A second answer to an earlier request comes where this one's is expected. Its caller would get
-// somebody else's answer.
+// A second response to an earlier request arrives first. It must not be passed on to this caller.
 TEST_F(OutboundCallTest, ResponseToAnotherRequestIsSkipped)
 {
     ScriptedServer server(
@@ -179,7 +179,8 @@
     EXPECT_EQ(outcome.body, "ours");
 }
 
-// Bytes follow a whole answer. A further request on that connection would take them for its own.
+// Bytes follow a complete response. The next request on that connection would take them for its
+// response.
 TEST_F(OutboundCallTest, ConnectionWithBytesAfterTheResponseIsNotReused)
 {
     ScriptedServer server({respondWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokextra")});
@@ -187,7 +188,7 @@
     EXPECT_EQ(pool_->idleCount(), 0U);
 }
 
-// They come a moment later, while the connection idles.
+// As above, but the bytes arrive later, while the connection is idle.
 TEST_F(OutboundCallTest, IdleConnectionThatReceivesBytesIsNotReused)
 {
     ScriptedServer server(
@@ -203,8 +204,8 @@
     EXPECT_EQ(call(request(server.address())).body, "ours");
 }
 
-// The endpoint turns a long request away before it has read it. Its answer counts, and the
-// connection, which still expects the rest, is not used for another request.
+// The endpoint rejects a long request before it has read all of it. The response must be passed on,
+// and the connection, which still expects the rest of the request, must not be reused.
 TEST_F(OutboundCallTest, ResponseBeforeTheRequestIsWrittenIsUsed)
 {
     ScriptedServer server({[](tcp::socket &socket) {
@@ -228,7 +229,7 @@
     EXPECT_EQ(outcome.body, "ok");
 }
 
-// A damaged head states an enormous length. Memory must not be asked for on its word.
+// A corrupt header states an enormous length. No memory must be allocated for it.
 TEST_F(OutboundCallTest, ExcessiveContentLengthIsAFailure)
 {
     ScriptedServer server(
--- a/Source/UnitTests/Relay/PeerMessagesTest.cpp
+++ b/Source/UnitTests/Relay/PeerMessagesTest.cpp
@@ -22,8 +22,8 @@
     EXPECT_EQ(read->fromRegion, "north");
 }
 
-// A text that is no note, or a damaged one whose lengths lie. It must not cost memory or the
-// process.
+// Invalid text, or corrupt metadata with wrong lengths, must not cause large allocations or a
+// crash.
 TEST(ForwardMetadataTest, InvalidTextIsAnError)
 {
     EXPECT_FALSE(decodeForwardMetadata(""));
@@ -33,8 +33,8 @@
     EXPECT_FALSE(decodeForwardMetadata(whole.substr(0, whole.size() / 2)));
 }
 
-// Each long prompt is told to every neighbour at once. The message has to stay small, or the
-// notices of a peak would fill the links that requests need.
+// A notice of each long prompt is sent immediately to every peer in the region. It must be small,
+// or the notices during a load peak would use up the bandwidth that requests need.
 TEST(GossipMessageTest, PromptNoticeIsSmall)
 {
     Dispatch::PromptNotices notices;
@@ -52,7 +52,7 @@
     EXPECT_EQ(decodedNotices->prompts[0].parts[0].tokens, 13000U);
 }
 
-// A damaged datagram, or one of an older version. It must not cost memory or the process.
+// A corrupt datagram, or one from an older version, must not cause large allocations or a crash.
 TEST(GossipMessageTest, InvalidBytesAreAnError)
 {
     EXPECT_FALSE(Peers::decodeValue<GossipMessage>(""));
--- a/Source/UnitTests/Relay/ShutdownPlanTest.cpp
+++ b/Source/UnitTests/Relay/ShutdownPlanTest.cpp
@@ -10,7 +10,7 @@
 using Common::Time;
 
 constexpr milliseconds Bound{8000};
-/// Longest time for which callers of the sites wait for an order.
+/// Longest time for which callers wait for an at-most-once request.
 constexpr milliseconds LongestRequest{5000};
 
 ShutdownStep stepAfter(milliseconds time, std::size_t requests, std::size_t connections)
@@ -18,8 +18,8 @@
     return ShutdownPlan(Time(), Bound).step(requests, connections, Time() + time);
 }
 
-// An instance is told to stop while callers that have not asked the directory again go on sending
-// to it. For two seconds they notice nothing.
+// Callers that have not queried the directory again keep sending requests to a stopping instance.
+// For 2 s it serves them normally.
 TEST(ShutdownPlanTest, ServesNormallyAtFirst)
 {
     const auto step = stepAfter(milliseconds(2000), 0, 0);
@@ -29,10 +29,9 @@
     EXPECT_FALSE(step.end);
 }
 
-// A caller sends a request three seconds after the instance was told to stop, and its answer takes
-// five seconds. Were it taken, it would be cut off as the process is ended by force: the caller
-// loses an answer that another instance could have given. So no request is taken that may not end
-// in time.
+// A request that arrives 3 s after the stop request and takes 5 s would be cut off when the process
+// is killed, although another instance could have served it. Requests that may not end in time must
+// be rejected.
 TEST(ShutdownPlanTest, RejectsRequestsThatMayNotEndInTime)
 {
     for (milliseconds time(0); time < Bound; time += milliseconds(10)) {
@@ -43,9 +42,8 @@
     }
 }
 
-// The last request has been answered, and its caller is still sending on that connection. A process
-// that ended now would reset the connection, and the caller would lose the answer that is on its
-// way.
+// The last request has been answered, but its caller is still sending on that connection. If the
+// process exited now, the connection would be reset and the response in transit lost.
 TEST(ShutdownPlanTest, WaitsForConnectionsToClose)
 {
     EXPECT_FALSE(stepAfter(milliseconds(3300), 0, 1).end);
@@ -53,14 +51,14 @@
     EXPECT_TRUE(stepAfter(milliseconds(3300), 0, 0).end);
 }
 
-// A caller that never closes its connection does not keep the process.
+// A caller that never closes its connection must not prevent the process from exiting.
 TEST(ShutdownPlanTest, ExitsDespiteAConnectionThatStaysOpen)
 {
     EXPECT_TRUE(stepAfter(milliseconds(5000), 0, 1).end);
 }
 
-// A request that takes longer than the time to stop is cut off by the process itself, so that its
-// log tells of it.
+// A request that exceeds the shutdown time limit is cut off by the process itself, so that the log
+// contains it.
 TEST(ShutdownPlanTest, ExitsBeforeItIsKilled)
 {
     EXPECT_FALSE(stepAfter(milliseconds(7600), 1, 1).end);
--- a/Source/UnitTests/Relay/Sockets.h
+++ b/Source/UnitTests/Relay/Sockets.h
@@ -17,7 +17,7 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-/// A server that plays one script for each connection it accepts, on a thread of its own.
+/// A server that runs one script for each accepted connection, on its own thread.
 class ScriptedServer
 {
 public:
@@ -30,7 +30,7 @@
     }
     ~ScriptedServer()
     {
-        // Wakes an accept that still waits.
+        // Unblocks a pending accept.
         boost::system::error_code ignored;
         tcp::socket unblockingSocket(context_);
         unblockingSocket.connect(acceptor_.local_endpoint(), ignored);
@@ -50,7 +50,7 @@
         return acceptedCount_;
     }
 
-    /// Reads a request's head (and body, when it is short enough to come with it).
+    /// Reads a request's head. A body that arrives with it is discarded.
     static std::string readHead(tcp::socket &socket)
     {
         asio::streambuf buffer;
