--- a/Source/Core/Relay/RelayOptions.cpp
+++ b/Source/Core/Relay/RelayOptions.cpp
@@ -7,25 +7,25 @@
 using Common::Setting;
 
 const Setting<std::string> ConfigSetting{"config", "platform", "",
-                                         "Settings file that the platform writes", "a path"};
+                                         "Settings file written by the platform", "a path"};
 const Setting<std::int64_t> MetricsSetting{
     "metrics-port",
     "metrics",
     0,
-    "Port of metrics and state dump; 0 for none",
+    "Port for metrics and the state dump; 0 disables it",
     "a whole number from 0 to 65535",
     [](const std::int64_t &v) { return v >= 0 && v <= 65535; }};
 const Setting<std::int64_t> LinesSetting{"log-lines-per-second",
                                          "logs",
                                          100,
-                                         "Lines of one kind of event a second",
+                                         "Log lines per second for each event name",
                                          "a whole number above 0",
                                          [](const std::int64_t &v) { return v > 0; }};
 const Setting<std::string> DecisionsSetting{
     "decisions",
     "decisions",
     "",
-    "For trials: options of the decisions under load, NAME=VALUE separated by commas",
+    "For experiments: scheduling options, NAME=VALUE separated by commas",
     "NAME=VALUE,NAME=VALUE; names and units: docs/operating/decisions.md",
     [](const std::string &text) {
         return Dispatch::withOverrides(Dispatch::DispatchOptions(), text).has_value();
