--- a/Source/Core/Relay/InboundConnection.cpp
+++ b/Source/Core/Relay/InboundConnection.cpp
@@ -75,12 +75,12 @@
 
 void InboundConnection::read()
 {
-    if (closed_ || readPending_ || in_.size() > MaxReadAheadBytes) {
+    if (closed_ || readPending_ || input_.size() > MaxReadAheadBytes) {
         return;
     }
     readPending_ = true;
     socket_.async_read_some(
-        asio::buffer(buffer_),
+        asio::buffer(readBuffer_),
         [self = shared_from_this()](const boost::system::error_code &error, std::size_t size) {
             self->readPending_ = false;
             if (error) {
@@ -94,7 +94,7 @@
 void InboundConnection::handleReceived(std::size_t size)
 {
     if (state_ != State::Lingering) {
-        in_.append(buffer_.data(), size);
+        input_.append(readBuffer_.data(), size);
     }
     if (state_ == State::Reading) {
         parse();
@@ -104,7 +104,7 @@
 
 void InboundConnection::parse()
 {
-    while (state_ == State::Reading && !closed_ && !in_.empty() && parseNext()) { }
+    while (state_ == State::Reading && !closed_ && !input_.empty() && parseNext()) { }
 }
 
 /// Parses the next part of the buffered input. Returns false if parsing cannot go on for now.
@@ -119,8 +119,8 @@
     }
     const bool hadHeader = parser_->is_header_done();
     boost::system::error_code error;
-    const auto used = parser_->put(asio::buffer(in_), error);
-    in_.erase(0, used);
+    const auto used = parser_->put(asio::buffer(input_), error);
+    input_.erase(0, used);
     if (error && error != http::error::need_more) {
         rejectRequest(statusFor(error), error.message());
         return false;
@@ -287,19 +287,19 @@
     if (closed_) {
         return;
     }
-    out_ += bytes;
+    output_ += bytes;
     flush();
 }
 
 void InboundConnection::flush()
 {
-    if (writePending_ || out_.empty()) {
+    if (writePending_ || output_.empty()) {
         return;
     }
     writePending_ = true;
     writeSince_ = steadyNow();
-    writing_.swap(out_);
-    asio::async_write(socket_, asio::buffer(writing_),
+    writeBuffer_.swap(output_);
+    asio::async_write(socket_, asio::buffer(writeBuffer_),
                       [self = shared_from_this()](const boost::system::error_code &error,
                                                   std::size_t) { self->handleWritten(error); });
 }
@@ -307,7 +307,7 @@
 void InboundConnection::handleWritten(const boost::system::error_code &error)
 {
     writePending_ = false;
-    writing_.clear();
+    writeBuffer_.clear();
     if (error) {
         handleDisconnect();
         return;
@@ -332,7 +332,7 @@
     }
     state_ = State::Lingering;
     lastProgressAt_ = steadyNow();
-    in_.clear();
+    input_.clear();
     boost::system::error_code ignored;
     socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
     read();
@@ -361,7 +361,7 @@
 void InboundConnection::closeGracefully()
 {
     closeAfterResponse_ = true;
-    const bool idle = state_ == State::Reading && !parser_ && in_.empty() && unsentBytes() == 0;
+    const bool idle = state_ == State::Reading && !parser_ && input_.empty() && unsentBytes() == 0;
     if (idle) {
         linger();
     }
@@ -386,7 +386,7 @@
         if ((readingHeader && age > limits.headerTimeout)
             || (readingBody && age > limits.idleTimeout)) {
             rejectRequest(408, "the request did not arrive in time");
-        } else if (!parser_ && in_.empty() && age > limits.idleTimeout + IdleGracePeriod) {
+        } else if (!parser_ && input_.empty() && age > limits.idleTimeout + IdleGracePeriod) {
             linger();
         }
     }
--- a/Source/Core/Relay/InboundConnection.h
+++ b/Source/Core/Relay/InboundConnection.h
@@ -75,7 +75,7 @@
     /// Bytes that have not been passed to the kernel yet.
     std::size_t unsentBytes() const
     {
-        return out_.size() + writing_.size();
+        return output_.size() + writeBuffer_.size();
     }
     bool open() const
     {
@@ -121,10 +121,10 @@
     std::function<void()> onDrained_;
     State state_ = State::Reading;
     std::optional<Parser> parser_;
-    std::string in_;
-    std::array<char, 8192> buffer_{};
-    std::string out_;
-    std::string writing_;
+    std::string input_;
+    std::array<char, 8192> readBuffer_{};
+    std::string output_;
+    std::string writeBuffer_;
     std::string pendingHead_;
     bool readPending_ = false;
     bool writePending_ = false;
--- a/Source/Core/Relay/OutboundCall.cpp
+++ b/Source/Core/Relay/OutboundCall.cpp
@@ -135,7 +135,7 @@
     }
     readPending_ = true;
     connection_->socket.async_read_some(
-        asio::buffer(buffer_),
+        asio::buffer(readBuffer_),
         [self = shared_from_this()](const boost::system::error_code &error, std::size_t size) {
             self->readPending_ = false;
             if (!self->finished_) {
@@ -147,7 +147,7 @@
 void OutboundCall::received(const boost::system::error_code &error, std::size_t size)
 {
     if (!error) {
-        in_.append(buffer_.data(), size);
+        input_.append(readBuffer_.data(), size);
         parse();
         read();
         return;
@@ -165,14 +165,14 @@
 void OutboundCall::parse()
 {
     const auto self = shared_from_this();
-    while (!finished_ && !in_.empty() && parseNext()) { }
+    while (!finished_ && !input_.empty() && parseNext()) { }
 }
 
 bool OutboundCall::parseNext()
 {
     boost::system::error_code error;
-    const auto used = parser_->put(asio::buffer(in_), error);
-    in_.erase(0, used);
+    const auto used = parser_->put(asio::buffer(input_), error);
+    input_.erase(0, used);
     if (error && error != http::error::need_more) {
         fail(CallFailure::Broken, "not an answer: " + error.message());
         return false;
@@ -249,7 +249,7 @@
 {
     const auto self = shared_from_this();
     finished_ = true;
-    const bool reusable = requestWritten_ && in_.empty() && parser_->is_done()
+    const bool reusable = requestWritten_ && input_.empty() && parser_->is_done()
                           && parser_->get().keep_alive() && !parser_->need_eof();
     if (reusable) {
         pool_->release(request_.address, std::move(connection_), idleTimeout_,
--- a/Source/Core/Relay/OutboundCall.h
+++ b/Source/Core/Relay/OutboundCall.h
@@ -109,8 +109,8 @@
     OutboundConnectionPtr connection_;
     std::optional<Parser> parser_;
     std::optional<Common::Duration> idleTimeout_;
-    std::string in_;
-    std::array<char, 8192> buffer_{};
+    std::string input_;
+    std::array<char, 8192> readBuffer_{};
     Common::Time connectDeadline_{};
     bool connecting_ = false;
     bool connected_ = false;
--- a/Source/Core/Relay/RelayGateway.cpp
+++ b/Source/Core/Relay/RelayGateway.cpp
@@ -356,8 +356,8 @@
 void RelayGateway::continueShutdown(Common::Time now)
 {
     const auto step = shutdownStep(now);
-    if (step.closeConnections && !closing_) {
-        closing_ = true;
+    if (step.closeConnections && !closingConnections_) {
+        closingConnections_ = true;
         callers_.closeGracefully();
     }
     if (step.rejectConnections) {
--- a/Source/Core/Relay/RelayGateway.h
+++ b/Source/Core/Relay/RelayGateway.h
@@ -177,7 +177,7 @@
     Common::Time housekeepingAt_{};
     std::optional<ShutdownPlan> shutdown_;
     Common::Time stoppingSince_{};
-    bool closing_ = false;
+    bool closingConnections_ = false;
 };
 
 } // namespace LaburnumChute::Relay
--- a/Source/Core/Relay/RelayKnowledge.cpp
+++ b/Source/Core/Relay/RelayKnowledge.cpp
@@ -17,14 +17,14 @@
     const auto age = catalogCompleteAt_ ? std::optional(now - *catalogCompleteAt_) : std::nullopt;
     const auto grace =
         Catalog::remainingGrace(storeSettled(now), age, settings_.bounds.endpointDrain);
-    const auto news = catalog_.apply(changes, grace, now);
-    for (const auto &[key, reason] : news.undecodable) {
+    const auto update = catalog_.apply(changes, grace, now);
+    for (const auto &[key, reason] : update.undecodable) {
         EventLine line("item-unreadable");
         line.add("key", key).add("reason", reason).add("source", source);
         log_.write(line, now);
     }
     store_.advance(catalog_.items().upTo());
-    if (news.configuration) {
+    if (update.configuration) {
         EventLine line("configuration");
         line.add("version", static_cast<std::int64_t>(catalog_.version()))
             .add("revision", static_cast<std::int64_t>(catalog_.items().upTo()))
@@ -32,10 +32,10 @@
         log_.write(line, now);
         applyEffects(scheduler_.setServices(catalog_.routes()->configuration().services, now), now);
     }
-    if (news.endpoints || news.evacuations || news.configuration) {
+    if (update.endpoints || update.evacuations || update.configuration) {
         endpointsChanged(now);
     }
-    if (news.endpoints || news.evacuations) {
+    if (update.endpoints || update.evacuations) {
         EventLine line("catalog");
         line.add("revision", static_cast<std::int64_t>(catalog_.items().upTo()))
             .add("items", static_cast<std::int64_t>(changes.items.size()))
--- a/Source/Core/Relay/RelayRequests.cpp
+++ b/Source/Core/Relay/RelayRequests.cpp
@@ -46,11 +46,11 @@
 
 bool RelayGateway::exceedsBodyMemory(const InboundRequest &request) const
 {
-    std::size_t held = request.body->size();
+    std::size_t totalBytes = request.body->size();
     for (const auto &[id, call] : calls_) {
-        held += call->plan().body->size();
+        totalBytes += call->plan().body->size();
     }
-    return static_cast<double>(held)
+    return static_cast<double>(totalBytes)
            > static_cast<double>(settings_.memoryBytes) * BodyMemoryFraction;
 }
 
--- a/Source/Core/Relay/RelayServers.cpp
+++ b/Source/Core/Relay/RelayServers.cpp
@@ -100,7 +100,7 @@
         return;
     }
     std::vector<DirectoryCandidate> candidates;
-    if (ready() || (shutdown_ && !closing_)) {
+    if (ready() || (shutdown_ && !closingConnections_)) {
         const bool leaving = shutdown_.has_value();
         candidates.push_back({settings_.callerAddress, settings_.region, leaving});
     }
--- a/Source/Core/Relay/StoreWatcher.cpp
+++ b/Source/Core/Relay/StoreWatcher.cpp
@@ -65,10 +65,10 @@
 
 std::optional<Common::Duration> StoreWatcher::answerAge(Common::Time now) const
 {
-    if (!lastAnswer_) {
+    if (!lastAnswerAt_) {
         return std::nullopt;
     }
-    return now - *lastAnswer_;
+    return now - *lastAnswerAt_;
 }
 
 void StoreWatcher::advance(Catalog::Revision revision)
@@ -92,8 +92,8 @@
         handleFailure("no answer in time", now);
     }
     // A started listing is always completed, since the instance becomes ready with the first one.
-    const bool wanted = duty_ != Fleet::WatchDuty::Listens || step_ == Step::List;
-    if (!call_ && wanted && now >= nextCallAt_) {
+    const bool shouldCall = duty_ != Fleet::WatchDuty::Listens || step_ == Step::List;
+    if (!call_ && shouldCall && now >= nextCallAt_) {
         beginCall(now);
     }
 }
@@ -193,7 +193,7 @@
 
 void StoreWatcher::handleSuccess(Common::Time now)
 {
-    lastAnswer_ = now;
+    lastAnswerAt_ = now;
     retryDelay_ = Common::milliseconds(0);
     if (reportedState_ != StoreState::Answering) {
         reportedState_ = StoreState::Answering;
--- a/Source/Core/Relay/StoreWatcher.h
+++ b/Source/Core/Relay/StoreWatcher.h
@@ -88,7 +88,7 @@
     std::string body_;
     Common::Time deadline_{};
     Common::Time nextCallAt_{};
-    std::optional<Common::Time> lastAnswer_;
+    std::optional<Common::Time> lastAnswerAt_;
     Common::Time lastFailureAt_{};
     Common::milliseconds retryDelay_{0};
     Catalog::Revision revision_ = 0;
