--- a/Source/Core/Relay/InboundServer.cpp
+++ b/Source/Core/Relay/InboundServer.cpp
@@ -33,15 +33,15 @@
             if (error == asio::error::operation_aborted) {
                 return;
             }
-            // Beyond the limit a connection is closed unread, so that its caller tries another
-            // instance; out of descriptors, accepting would leave none for endpoints.
+            // Connections beyond the limit are closed unread, so that the caller tries another
+            // instance. Accepting more could use up the descriptors needed for endpoints.
             if (!error && connections_.size() < connectionLimit_) {
                 auto connection =
                     std::make_shared<InboundConnection>(std::move(socket), limits_, handler_);
                 connections_.push_back(connection);
                 connection->start(std::chrono::steady_clock::now());
-                if (closeSoon_) {
-                    connection->closeAfterNext();
+                if (closeAfterResponse_) {
+                    connection->closeAfterNextResponse();
                 }
             }
             accept();
@@ -54,11 +54,11 @@
     acceptor_.close(ignored);
 }
 
-void InboundServer::closeSoon()
+void InboundServer::closeGracefully()
 {
-    closeSoon_ = true;
+    closeAfterResponse_ = true;
     for (const auto &connection : connections_) {
-        connection->closeSoon();
+        connection->closeGracefully();
     }
 }
 
--- a/Source/Core/Relay/InboundServer.h
+++ b/Source/Core/Relay/InboundServer.h
@@ -10,7 +10,7 @@
 
 namespace LaburnumChute::Relay {
 
-/// Accepts connections at one address.
+/// Accepts connections on one address.
 class InboundServer
 {
 public:
@@ -19,15 +19,16 @@
 
     Common::Result<std::string> listen(const std::string &address);
     void stopAccepting();
-    /// Every connection goes with its next answer, or now if it is idle.
-    void closeSoon();
+    /// Closes every connection after its next response, or immediately if it is idle. Connections
+    /// accepted later are closed after their first response.
+    void closeGracefully();
     void tick(Common::Time now);
 
     std::size_t connections() const
     {
         return connections_.size();
     }
-    /// Requests being served.
+    /// Number of requests being served.
     std::size_t serving() const;
 
 private:
@@ -39,7 +40,7 @@
     InboundConnection::Handler handler_;
     asio::ip::tcp::acceptor acceptor_;
     std::vector<std::shared_ptr<InboundConnection>> connections_;
-    bool closeSoon_ = false;
+    bool closeAfterResponse_ = false;
 };
 
 } // namespace LaburnumChute::Relay
--- a/Source/Core/Relay/OutboundPool.cpp
+++ b/Source/Core/Relay/OutboundPool.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-/// Idle connections kept to one address: what an endpoint's batch may need.
-constexpr std::size_t IdleLimit = 64;
-/// Without word of the other side's idle timeout it is taken to be short.
-constexpr Common::milliseconds AssumedKeep{900};
-/// Given up this long before the other side would close it: a request that crosses the close may or
-/// may not have run.
-constexpr Common::milliseconds KeepMargin{700};
-constexpr Common::milliseconds LongestKeep{20000};
+/// Maximum number of idle connections to one address; covers the batch size of an endpoint.
+constexpr std::size_t MaxIdlePerAddress = 64;
+/// Reuse period if the remote side's idle timeout is unknown; it is assumed to be short.
+constexpr Common::milliseconds DefaultReuseTime{900};
+/// Connections are not reused within this time before the remote side's idle timeout: if a request
+/// is sent while the remote side closes the connection, it is unknown whether it has run.
+constexpr Common::milliseconds IdleTimeoutMargin{700};
+constexpr Common::milliseconds MaxReuseTime{20000};
 
-/// True when the other side has closed the connection or has sent bytes that nobody asked for.
-bool isStale(OutboundConnection &connection)
+/// Returns true if the remote side has closed the connection or has sent unexpected bytes.
+bool isUnusable(OutboundConnection &connection)
 {
     char byte = 0;
     boost::system::error_code error;
@@ -31,49 +31,50 @@
 {
 }
 
-OutboundConnectionPtr OutboundPool::take(const std::string &address, Common::Duration maxIdle,
-                                         Common::Time now)
+OutboundConnectionPtr OutboundPool::acquire(const std::string &address, Common::Duration maxIdle,
+                                            Common::Time now)
 {
     const auto found = idle_.find(address);
     if (found == idle_.end()) {
         return nullptr;
     }
     auto &connections = found->second;
-    // The one used last: it is the least likely to have been closed meanwhile.
+    // The most recently used connection is the least likely to have been closed.
     while (!connections.empty() && now - connections.back()->idleSince <= maxIdle) {
         auto connection = std::move(connections.back());
         connections.pop_back();
-        if (now < connection->idleUntil && !isStale(*connection)) {
+        if (now < connection->reusableUntil && !isUnusable(*connection)) {
             return connection;
         }
     }
     return nullptr;
 }
 
-void OutboundPool::give(const std::string &address, OutboundConnectionPtr connection,
-                        std::optional<Common::Duration> keptFor, Common::Time now)
+void OutboundPool::release(const std::string &address, OutboundConnectionPtr connection,
+                           std::optional<Common::Duration> idleTimeout, Common::Time now)
 {
     auto &connections = idle_[address];
-    if (connections.size() >= IdleLimit) {
+    if (connections.size() >= MaxIdlePerAddress) {
         return;
     }
-    const auto keep = keptFor ? *keptFor - KeepMargin : Common::Duration(AssumedKeep);
+    const auto reuseTime =
+        idleTimeout ? *idleTimeout - IdleTimeoutMargin : Common::Duration(DefaultReuseTime);
     connection->reused = true;
     connection->idleSince = now;
-    connection->idleUntil = now + std::min<Common::Duration>(keep, LongestKeep);
+    connection->reusableUntil = now + std::min<Common::Duration>(reuseTime, MaxReuseTime);
     connections.push_back(std::move(connection));
 }
 
-void OutboundPool::expire(Common::Time now)
+void OutboundPool::closeExpired(Common::Time now)
 {
     for (auto entry = idle_.begin(); entry != idle_.end();) {
         std::erase_if(entry->second,
-                      [now](const auto &connection) { return now >= connection->idleUntil; });
+                      [now](const auto &connection) { return now >= connection->reusableUntil; });
         entry = entry->second.empty() ? idle_.erase(entry) : std::next(entry);
     }
 }
 
-std::size_t OutboundPool::idle() const
+std::size_t OutboundPool::idleCount() const
 {
     std::size_t count = 0;
     for (const auto &[address, connections] : idle_) {
--- a/Source/Core/Relay/PeerSync.h
+++ b/Source/Core/Relay/PeerSync.h
@@ -12,47 +12,49 @@
 
 namespace LaburnumChute::Relay {
 
-/// Where an instance tells others what the memory of its region's engines holds.
+/// Path at which an instance serves the prefix cache contents of its region's engines to peers.
 inline constexpr const char *CachesPath = "/laburnumchute/caches";
 
-/// Target of the call by which an instance asks another for what it lacks.
+/// Path of the request that fetches the store changes after a given revision from a peer.
 inline constexpr std::string_view ItemsPath = "/laburnumchute/items";
 std::string itemsTarget(Catalog::Revision known);
-/// The revision of such a call; nothing for other targets.
-std::optional<Catalog::Revision> readItemsTarget(std::string_view target);
+/// Returns the revision in such a target, or nothing if the target is a different one.
+std::optional<Catalog::Revision> parseItemsTarget(std::string_view target);
 
-/// Fetches from other instances what this one lacks of the platform's store.
+/// Fetches missing changes of the platform's store from peers.
 ///
-/// The store may turn away one instance and serve the others, or go silent towards it; its view
-/// would stay old without a sign. Heartbeats tell the revision that each instance knows, and one
-/// that lags behind for longer than the store takes asks an instance that knows more. A peer whose
-/// last request failed recently is asked only if no other reachable peer knows more.
+/// The store may reject one instance, or stop responding to it, while it serves the others; that
+/// instance's data would become stale unnoticed. Heartbeats carry the revision that each instance
+/// has. An instance that stays behind for longer than the store's watch takes asks a peer with a
+/// newer revision. A peer whose last request failed recently is asked only if no other reachable
+/// peer has a newer revision.
 class PeerSync
 {
 public:
     using ChangesHandler =
         std::function<void(const Catalog::ItemChanges &, const Common::InstanceId &from)>;
 
-    PeerSync(std::shared_ptr<OutboundPool> pool, Common::RegionName home, ChangesHandler changes);
+    PeerSync(std::shared_ptr<OutboundPool> pool, Common::RegionName ownRegion,
+             ChangesHandler changes);
 
-    /// @param listens this instance does not watch the store and has nothing else to wait for
+    /// @param listens this instance does not watch the store itself, so it asks a peer immediately
     void tick(const std::vector<Fleet::Peer> &peers, Catalog::Revision known, bool listens,
               Common::Time now);
 
 private:
-    const Fleet::Peer *choose(const std::vector<Fleet::Peer> &peers, Catalog::Revision known,
-                              Common::Time now) const;
+    const Fleet::Peer *choosePeer(const std::vector<Fleet::Peer> &peers, Catalog::Revision known,
+                                  Common::Time now) const;
     bool failedRecently(const Common::InstanceId &peer, Common::Time now) const;
-    void begin(const Fleet::Peer &peer, Catalog::Revision known, Common::Time now);
+    void beginRequest(const Fleet::Peer &peer, Catalog::Revision known, Common::Time now);
 
-    Common::RegionName home_;
-    ChangesHandler changes_;
+    Common::RegionName ownRegion_;
+    ChangesHandler onChanges_;
     SimpleFetch fetch_;
-    bool asking_ = false;
-    /// Time of the last failed request to each peer; removed when a request succeeds.
+    bool requestPending_ = false;
+    /// Time of the last failed request to each peer; removed when a later request succeeds.
     std::map<Common::InstanceId, Common::Time> lastFailureAt_;
     std::optional<Common::Time> behindSince_;
-    Common::Time nextAt_{};
+    Common::Time nextRequestAt_{};
 };
 
 } // namespace LaburnumChute::Relay
--- a/Source/Core/Relay/RelayGateway.h
+++ b/Source/Core/Relay/RelayGateway.h
@@ -48,8 +48,8 @@
 };
 
 /// One instance that relays requests by host and path to the endpoints of its region, or to an
-/// instance of another region. Everything runs on one thread: a machine has a fraction of a core,
-/// and handing a request from thread to thread would cost more than serving it.
+/// instance in another region. Everything runs on one thread: an instance has only a fraction of a
+/// core, and passing a request between threads would cost more than serving it.
 class RelayGateway
 {
 public:
@@ -59,10 +59,10 @@
     RelayGateway &operator=(const RelayGateway &) = delete;
 
     Common::Result<void> start();
-    /// Serves until SIGTERM or SIGINT, then shuts down without cutting off a request.
+    /// Serves until SIGTERM or SIGINT, then shuts down gracefully, within the shutdown time limit.
     void run();
 
-    // For the requests under way.
+    // Used by running requests.
 
     Dispatch::Scheduler &scheduler()
     {
@@ -84,10 +84,10 @@
     {
         return settings_;
     }
-    void carryOut(const Dispatch::Effects &effects, Common::Time now);
-    /// An instance of the region that can be reached.
-    std::optional<Fleet::InstanceRecord> peerIn(const Common::RegionName &region);
-    void forget(Dispatch::CallId call);
+    void applyEffects(const Dispatch::Effects &effects, Common::Time now);
+    /// Returns a random instance in the region that is reachable and ready, if there is one.
+    std::optional<Fleet::InstanceRecord> findPeerIn(const Common::RegionName &region);
+    void removeCall(Dispatch::CallId call);
 
 private:
     using Connection = std::shared_ptr<InboundConnection>;
@@ -97,30 +97,30 @@
     void serveReadiness(const Connection &connection, const InboundRequest &request);
     void serveDirectory(const Connection &connection, const InboundRequest &request);
     void serveMetrics(const Connection &connection, const InboundRequest &request);
-    void serveCaches(const Connection &connection);
-    /// A new process asks the region's engines, and an instance that has run for longer, what the
-    /// engines' memory holds.
-    void learnCaches(Common::Time now);
+    void servePrefixCaches(const Connection &connection);
+    /// Queries the prefix cache contents after startup, from the region's engines and from a peer
+    /// in the region.
+    void queryPrefixCaches(Common::Time now);
     void serveItems(const Connection &connection, Catalog::Revision known);
-    void refuse(const Connection &connection, unsigned status, const std::string &requestId,
-                const std::string &detail, std::optional<Common::milliseconds> retryAfter);
-    void begin(RelayPlan plan, const Connection &connection);
-    Common::Result<RelayPlan> planForwarded(const InboundRequest &request, const std::string &note,
-                                            Common::Time now) const;
-    bool tooMuchInMemory(const InboundRequest &request) const;
-    /// Time since the catalog was known to match the store; nothing when it never was.
+    void rejectRequest(const Connection &connection, unsigned status, const std::string &requestId,
+                       const std::string &detail, std::optional<Common::milliseconds> retryAfter);
+    void beginCall(RelayPlan plan, const Connection &connection);
+    Common::Result<RelayPlan> parseForwarded(const InboundRequest &request,
+                                             const std::string &metadata, Common::Time now) const;
+    bool exceedsBodyMemory(const InboundRequest &request) const;
+    /// Time since the catalog was known to match the store, or nothing if it never was.
     std::optional<Common::Duration> catalogAge(Common::Time now) const;
-    /// The store, or a peer that hears it, has answered lately.
-    bool catalogFresh(Common::Time now) const;
+    /// Returns true if the catalog matched the store recently, directly or through a peer.
+    bool isCatalogFresh(Common::Time now) const;
     bool storeSettled(Common::Time now) const;
 
-    void takeChanges(const Catalog::ItemChanges &changes, const std::string &source);
+    void applyChanges(const Catalog::ItemChanges &changes, const std::string &source);
     void storeStateChanged(StoreState state, const std::string &reason);
     void endpointsChanged(Common::Time now);
-    void takeDatagram(std::string_view datagram);
-    void takeHeartbeat(const Fleet::Heartbeat &heartbeat, Common::Time now);
-    /// Tells the region's other instances what was sent since the last tick.
-    void tellNeighbours();
+    void handleDatagram(std::string_view datagram);
+    void handleHeartbeat(const Fleet::Heartbeat &heartbeat, Common::Time now);
+    /// Sends the pending prompt notices to the peers in the region.
+    void sendPromptNotices();
     void sendAll(const Fleet::Sends &sends);
     void fleetChanged(Common::Time now);
     void announceRevision(Common::Time now);
@@ -128,7 +128,7 @@
     void scheduleTick();
     void tick(Common::Time now);
     void heartbeat(Common::Time now);
-    void rereadSettings(bool bySignal, Common::Time now);
+    void reloadSettings(bool bySignal, Common::Time now);
     void applySettings(Common::Time now);
     void waitForSignal();
     void waitForReload();
@@ -163,21 +163,21 @@
     asio::signal_set stopSignals_;
     asio::signal_set reloadSignals_;
     std::unordered_map<Dispatch::CallId, std::shared_ptr<RelayedCall>> calls_;
-    Dispatch::CallId nextCall_ = 1;
+    Dispatch::CallId nextCallId_ = 1;
     std::vector<Fleet::Peer> knownPeers_;
     Fleet::WatchDuty duty_ = Fleet::WatchDuty::Watches;
     std::map<Common::InstanceId, bool> peerAlive_;
-    /// Updated once per tick rather than on each answer, so that it predates the changes being
+    /// Updated once per tick rather than on each response, so that it predates the changes being
     /// applied.
     std::optional<Common::Time> catalogCompleteAt_;
     Common::Time heartbeatAt_{};
-    std::optional<Common::Time> learnCachesAt_;
-    bool cachesLearnt_ = false;
+    std::optional<Common::Time> queryCachesAt_;
+    bool cachesQueried_ = false;
     Common::Time settingsAt_{};
     Common::Time housekeepingAt_{};
     std::optional<ShutdownPlan> shutdown_;
     Common::Time stoppingSince_{};
-    bool closing_ = false;
+    bool closingConnections_ = false;
 };
 
 } // namespace LaburnumChute::Relay
--- a/Source/Core/Relay/RelayKnowledge.cpp
+++ b/Source/Core/Relay/RelayKnowledge.cpp
@@ -8,34 +8,34 @@
 
 namespace LaburnumChute::Relay {
 
-// What is known.
+// Catalog.
 
-void RelayGateway::takeChanges(const Catalog::ItemChanges &changes, const std::string &source)
+void RelayGateway::applyChanges(const Catalog::ItemChanges &changes, const std::string &source)
 {
     const auto now = steadyNow();
     const auto before = catalog_.items().upTo();
     const auto age = catalogCompleteAt_ ? std::optional(now - *catalogCompleteAt_) : std::nullopt;
     const auto grace =
         Catalog::remainingGrace(storeSettled(now), age, settings_.bounds.endpointDrain);
-    const auto news = catalog_.apply(changes, grace, now);
-    for (const auto &[key, reason] : news.undecodable) {
+    const auto update = catalog_.apply(changes, grace, now);
+    for (const auto &[key, reason] : update.undecodable) {
         EventLine line("item-unreadable");
         line.add("key", key).add("reason", reason).add("source", source);
         log_.write(line, now);
     }
     store_.advance(catalog_.items().upTo());
-    if (news.configuration) {
+    if (update.configuration) {
         EventLine line("configuration");
         line.add("version", static_cast<std::int64_t>(catalog_.version()))
             .add("revision", static_cast<std::int64_t>(catalog_.items().upTo()))
             .add("source", source);
         log_.write(line, now);
-        carryOut(scheduler_.setServices(catalog_.routes()->configuration().services, now), now);
+        applyEffects(scheduler_.setServices(catalog_.routes()->configuration().services, now), now);
     }
-    if (news.endpoints || news.evacuations || news.configuration) {
+    if (update.endpoints || update.evacuations || update.configuration) {
         endpointsChanged(now);
     }
-    if (news.endpoints || news.evacuations) {
+    if (update.endpoints || update.evacuations) {
         EventLine line("catalog");
         line.add("revision", static_cast<std::int64_t>(catalog_.items().upTo()))
             .add("items", static_cast<std::int64_t>(changes.items.size()))
@@ -81,7 +81,7 @@
         (isOwn ? own : remote).push_back(std::move(endpoint));
     }
     scheduler_.setRemoteEndpoints(remote);
-    carryOut(scheduler_.setEndpoints(own, catalog_.evacuated(), now), now);
+    applyEffects(scheduler_.setEndpoints(own, catalog_.evacuated(), now), now);
 }
 
 std::optional<Common::Duration> RelayGateway::catalogAge(Common::Time now) const
@@ -89,13 +89,14 @@
     return Fleet::knowledgeAge(store_.answerAge(now), catalog_.items().upTo(), knownPeers_);
 }
 
-bool RelayGateway::catalogFresh(Common::Time now) const
+bool RelayGateway::isCatalogFresh(Common::Time now) const
 {
     const auto age = catalogAge(now);
     return age && *age < settings_.bounds.configuration;
 }
 
-/// A listener has no trouble of its own to judge by: that of the instances it hears counts.
+/// An instance that does not watch the store itself sees no failures of its own, so the reachable
+/// peers in the region count as well.
 bool RelayGateway::storeSettled(Common::Time now) const
 {
     const bool peersSettled =
@@ -111,7 +112,7 @@
     return catalog_.routes() != nullptr && catalog_.items().upTo() > 0 && !shutdown_;
 }
 
-// Other instances.
+// Peers.
 
 void RelayGateway::sendAll(const Fleet::Sends &sends)
 {
@@ -120,7 +121,7 @@
     }
 }
 
-void RelayGateway::takeDatagram(std::string_view datagram)
+void RelayGateway::handleDatagram(std::string_view datagram)
 {
     const auto now = steadyNow();
     const auto message = Peers::decodeValue<GossipMessage>(datagram);
@@ -137,7 +138,7 @@
 
         void operator()(const Fleet::Heartbeat &heartbeat) const
         {
-            gateway.takeHeartbeat(heartbeat, now);
+            gateway.handleHeartbeat(heartbeat, now);
         }
         void operator()(const Dispatch::PromptNotices &notices) const
         {
@@ -147,7 +148,7 @@
     std::visit(Visitor{*this, now}, *message);
 }
 
-void RelayGateway::takeHeartbeat(const Fleet::Heartbeat &heartbeat, Common::Time now)
+void RelayGateway::handleHeartbeat(const Fleet::Heartbeat &heartbeat, Common::Time now)
 {
     sendAll(roster_.receive(heartbeat, now));
     const auto &sender = heartbeat.self;
@@ -156,15 +157,14 @@
     }
     if (sender.region == settings_.region) {
         if (const auto share = Peers::decodeValue<Dispatch::RegionLoadReport>(heartbeat.share)) {
-            carryOut(scheduler_.setRegionLoadReport(sender.id, *share, now), now);
+            applyEffects(scheduler_.setRegionLoadReport(sender.id, *share, now), now);
         }
-    } else if (const auto share =
-                   Peers::decodeValue<Dispatch::CrossRegionLoadReport>(heartbeat.share)) {
+    } else if (const auto share = Peers::decodeValue<Dispatch::CrossRegionLoadReport>(heartbeat.share)) {
         scheduler_.setCrossRegionLoadReport(sender.region, sender.id, *share, now);
     }
 }
 
-void RelayGateway::tellNeighbours()
+void RelayGateway::sendPromptNotices()
 {
     const auto notices = scheduler_.takeNotices();
     if (notices.prompts.empty()) {
@@ -183,7 +183,7 @@
     knownPeers_ = roster_.peers(now);
     std::vector<Common::InstanceId> own = {settings_.instance};
     std::set<Common::RegionName> reachable;
-    std::size_t all = 1;
+    std::size_t aliveCount = 1;
     for (const auto &peer : knownPeers_) {
         auto &wasAlive = peerAlive_.try_emplace(peer.record.id, false).first->second;
         if (wasAlive != peer.alive) {
@@ -192,16 +192,16 @@
             line.add("peer", peer.record.id).add("region", peer.record.region);
             log_.write(line, now);
         }
-        all += peer.alive ? 1 : 0;
+        aliveCount += peer.alive ? 1 : 0;
         if (peer.alive && peer.record.region == settings_.region) {
             own.push_back(peer.record.id);
         }
-        const bool takesWork = peer.reachable && peer.record.ready && !peer.record.leaving;
-        if (takesWork && peer.record.region != settings_.region) {
+        const bool acceptsRequests = peer.reachable && peer.record.ready && !peer.record.leaving;
+        if (acceptsRequests && peer.record.region != settings_.region) {
             reachable.insert(peer.record.region);
         }
     }
-    scheduler_.setFleet(own, all, {reachable.begin(), reachable.end()});
+    scheduler_.setFleet(own, aliveCount, {reachable.begin(), reachable.end()});
     const auto bound = std::min(settings_.bounds.endpointDrain, settings_.bounds.configuration);
     const auto duty = Fleet::watchDuty(roster_.self(), knownPeers_, Fleet::watchOptionsFor(bound));
     if (duty != duty_) {
@@ -215,7 +215,7 @@
     }
 }
 
-std::optional<Fleet::InstanceRecord> RelayGateway::peerIn(const Common::RegionName &region)
+std::optional<Fleet::InstanceRecord> RelayGateway::findPeerIn(const Common::RegionName &region)
 {
     std::vector<const Fleet::InstanceRecord *> candidates;
     for (const auto &peer : knownPeers_) {
--- a/Source/Core/Relay/RelayServers.cpp
+++ b/Source/Core/Relay/RelayServers.cpp
@@ -14,8 +14,8 @@
 
 using Common::milliseconds;
 
-/// Callers keep the directory's answers for this long, some three times as long: short enough that
-/// they have left an instance before it stops.
+/// Callers cache directory responses for this long, and some for three times as long. Short enough
+/// for them to have left an instance before it stops.
 constexpr milliseconds DirectoryLifetime{1000};
 constexpr milliseconds CacheTimeout{1000};
 constexpr std::string_view MetricsPath = "/metrics";
@@ -23,23 +23,23 @@
 
 } // namespace
 
-// Other servers.
+// Handlers of the peer, readiness, directory and metrics servers.
 
 void RelayGateway::serveItems(const Connection &connection, Catalog::Revision known)
 {
-    connection->answer(Ok, {{"Content-Type", "application/octet-stream"}},
-                       Peers::encodeValue(catalog_.items().since(known)));
+    connection->respond(Ok, {{"Content-Type", "application/octet-stream"}},
+                        Peers::encodeValue(catalog_.items().since(known)));
 }
 
-void RelayGateway::serveCaches(const Connection &connection)
+void RelayGateway::servePrefixCaches(const Connection &connection)
 {
-    connection->answer(Ok, {{"Content-Type", "application/octet-stream"}},
-                       Peers::encodeValue(scheduler_.caches()));
+    connection->respond(Ok, {{"Content-Type", "application/octet-stream"}},
+                        Peers::encodeValue(scheduler_.caches()));
 }
 
-void RelayGateway::learnCaches(Common::Time now)
+void RelayGateway::queryPrefixCaches(Common::Time now)
 {
-    cachesLearnt_ = true;
+    cachesQueried_ = true;
     for (const auto &record : scheduler_.enginesToPoll()) {
         fetch_.get(
             record.address, Platform::cacheListTarget(), CacheTimeout,
@@ -52,7 +52,8 @@
                     line.add("parts", static_cast<std::int64_t>(parts->size()));
                     scheduler_.setCache(id, *parts, at);
                 } else {
-                    // Without it prompts are read that the engine may hold.
+                    // Without the list, prompts that the engine has cached may be processed
+                    // again elsewhere.
                     line.add("reason", status == Ok ? parts.error().message : body);
                 }
                 log_.write(line, at);
@@ -81,25 +82,25 @@
 void RelayGateway::serveReadiness(const Connection &connection, const InboundRequest &request)
 {
     if (!Platform::isReadinessCall(request.method, request.target)) {
-        connection->answer(NotFound, {}, "");
+        connection->respond(NotFound, {}, "");
         return;
     }
-    connection->answer(ready() ? Ok : ServiceUnavailable, {}, "");
+    connection->respond(ready() ? Ok : ServiceUnavailable, {}, "");
 }
 
 void RelayGateway::serveDirectory(const Connection &connection, const InboundRequest &request)
 {
     if (!Platform::isDirectoryCall(request.method, request.target)) {
-        connection->answer(NotFound, {}, "");
+        connection->respond(NotFound, {}, "");
         return;
     }
     const auto query = Platform::readDirectoryQuery(request.target);
     if (!query) {
-        refuse(connection, BadRequest, "", query.error().message, std::nullopt);
+        rejectRequest(connection, BadRequest, "", query.error().message, std::nullopt);
         return;
     }
     std::vector<DirectoryCandidate> candidates;
-    if (ready() || (shutdown_ && !closing_)) {
+    if (ready() || (shutdown_ && !closingConnections_)) {
         const bool leaving = shutdown_.has_value();
         candidates.push_back({settings_.callerAddress, settings_.region, leaving});
     }
@@ -121,12 +122,12 @@
     const auto addresses =
         chooseAddresses(candidates, query->region, homes, Platform::DirectoryAddressLimit);
     if (addresses.empty()) {
-        connection->answer(ServiceUnavailable, {}, "no instance is ready");
+        connection->respond(ServiceUnavailable, {}, "no instance is ready");
         return;
     }
     const auto lifetime = std::min(DirectoryLifetime, settings_.bounds.directoryLifetime);
-    connection->answer(Ok, {{"Content-Type", "application/json"}},
-                       Platform::directoryAnswer(addresses, lifetime));
+    connection->respond(Ok, {{"Content-Type", "application/json"}},
+                        Platform::directoryAnswer(addresses, lifetime));
 }
 
 nlohmann::json RelayGateway::dump(Common::Time now) const
@@ -155,15 +156,15 @@
 {
     const auto path = Catalog::pathOf(request.target);
     if (path == MetricsPath) {
-        connection->answer(Ok, {{"Content-Type", "text/plain; version=0.0.4"}},
-                           registry_.prometheusText());
+        connection->respond(Ok, {{"Content-Type", "text/plain; version=0.0.4"}},
+                            registry_.prometheusText());
         return;
     }
     if (path == DumpPath) {
-        connection->answer(Ok, {{"Content-Type", "application/json"}}, dump(steadyNow()).dump(2));
+        connection->respond(Ok, {{"Content-Type", "application/json"}}, dump(steadyNow()).dump(2));
         return;
     }
-    connection->answer(NotFound, {}, "");
+    connection->respond(NotFound, {}, "");
 }
 
 } // namespace LaburnumChute::Relay
--- a/Source/Core/Relay/RelayedCall.h
+++ b/Source/Core/Relay/RelayedCall.h
@@ -8,7 +8,7 @@
 #include "Dialect/Dialect.h"
 #include "Dispatch/Dispatch.h"
 #include "Relay/EventCutter.h"
-#include "Relay/ForwardNote.h"
+#include "Relay/ForwardMetadata.h"
 #include "Relay/InboundConnection.h"
 #include "Relay/OutboundCall.h"
 
@@ -16,24 +16,24 @@
 
 class RelayGateway;
 
-/// What is fixed of a request as it is taken in.
+/// The properties of a request that are fixed when it is accepted.
 struct RelayPlan
 {
     Dispatch::CallFacts facts;
     Dialect::CallerHead head;
-    /// Of the caller, without what concerns its connection alone.
+    /// Headers of the caller without the hop-by-hop ones.
     Common::Headers headers;
     std::string method;
     std::string target;
     std::shared_ptr<const std::string> body;
     bool resumable = false;
     std::optional<Common::milliseconds> gap;
-    /// It came from another instance, which tells its caller.
+    /// The request was forwarded by a peer, which passes the outcome on to the caller.
     bool fromPeer = false;
 };
 
-/// One request on its way: carries out what the scheduler decides, passes the answer back, and
-/// answers by itself what got no answer.
+/// A running request. Executes the scheduler's decisions and passes the response back to the
+/// caller, or generates an error response if there is none.
 class RelayedCall : public std::enable_shared_from_this<RelayedCall>
 {
 public:
@@ -44,37 +44,37 @@
     void start(Common::Time now);
     void tick(Common::Time now);
 
-    // What the scheduler decides.
+    // Decisions of the scheduler.
 
     void send(const Dispatch::Send &effect, Common::Time now);
     void forward(const Dispatch::Forward &effect, Common::Time now);
     void reject(const Dispatch::Reject &effect, Common::Time now);
     void fail(Common::Time now);
-    void takeBack(Common::Time now);
+    void abandonSilentAttempt(Common::Time now);
 
     const RelayPlan &plan() const
     {
         return plan_;
     }
-    bool over() const
+    bool finished() const
     {
-        return over_;
+        return finished_;
     }
 
 private:
-    /// How the answer under way is handled.
-    enum class Mode {
+    /// How the current response is handled.
+    enum class ResponseMode {
         None,
-        /// Passed on event by event.
-        Events,
-        /// Kept until it is whole.
-        Whole,
-        /// The endpoint or instance says that it has not run the request.
+        /// Passed on event by event as it arrives.
+        Streamed,
+        /// Buffered until it is complete.
+        Buffered,
+        /// The endpoint or peer states that it has not run the request.
         NotRun,
-        /// Another instance does not know what became of it.
+        /// The peer does not know whether the request has run.
         Unknown,
     };
-    struct KeptAnswer
+    struct KeptResponse
     {
         unsigned status = 0;
         Common::Headers headers;
@@ -83,23 +83,23 @@
 
     OutboundRequest outboundRequest(const std::string &address, const Common::Headers &headers,
                                     Common::Time now) const;
-    Common::Duration connectionAge() const;
+    Common::Duration maxConnectionIdle() const;
     void startCall(OutboundRequest request, Common::Time now);
-    bool takeHead(const AnswerHead &head);
-    void readPeerState(const AnswerHead &head);
+    bool handleHead(const ResponseHead &head);
+    void readPeerState(const ResponseHead &head);
     void recordLimit(const Dialect::AnswerFacts &facts, Common::Time now);
-    void takeBody(const std::string &bytes);
-    void passEvents(const std::string &events);
-    void takeEnd();
-    void takeFailure(CallFailure failure, const std::string &reason);
-    void endTry(Dispatch::AttemptOutcome outcome, bool mayGoOn, Common::Time now);
+    void handleBody(const std::string &bytes);
+    void passOnEvents(const std::string &events);
+    void handleEnd();
+    void handleFailure(CallFailure failure, const std::string &reason);
+    void endAttempt(Dispatch::AttemptOutcome outcome, bool mayRetry, Common::Time now);
     bool isSuccess() const;
-    void answerKept();
-    void answerOwn(unsigned status, const std::string &detail,
-                   std::optional<Common::milliseconds> retryAfter, bool notRun);
-    void callerGone();
-    /// Ends the request instead of sending it when its caller has left; true if so.
-    bool endedAsCallerLeft(Common::Time now);
+    void sendKeptResponse();
+    void sendOwnResponse(unsigned status, const std::string &detail,
+                         std::optional<Common::milliseconds> retryAfter, bool notRun);
+    void handleCallerDisconnect();
+    /// Ends the request instead of sending it if its caller has disconnected. Returns true if so.
+    bool abandonIfCallerLeft(Common::Time now);
     void timeOut(Common::Time now);
     void finish(const char *outcome);
     Common::milliseconds timeLeft(Common::Time now) const;
@@ -108,28 +108,29 @@
     RelayPlan plan_;
     std::shared_ptr<InboundConnection> connection_;
     std::shared_ptr<OutboundCall> call_;
-    Mode mode_ = Mode::None;
-    KeptAnswer kept_;
-    /// The last answer of an endpoint that another try may still replace.
-    std::optional<KeptAnswer> spare_;
+    ResponseMode responseMode_ = ResponseMode::None;
+    KeptResponse response_;
+    /// Last error response of an endpoint. Passed on if no later attempt succeeds.
+    std::optional<KeptResponse> lastErrorResponse_;
     EventCutter cutter_;
     Common::EndpointId endpoint_;
     Common::InstanceId peer_;
     Common::Time sentAt_{};
     Common::Time lastEventAt_{};
-    /// From taking the request to the first event passed on, and the longest pause after it.
+    /// Time from the arrival of the request to the first event passed on, and the longest pause
+    /// after that.
     std::optional<Common::Duration> firstEventAfter_;
     Common::Duration longestPause_{0};
-    int eventsPassed_ = 0;
-    /// Rate limit stated in the last answer of an endpoint.
+    int eventsPassedOn_ = 0;
+    /// Rate limit stated in the last response of an endpoint.
     std::optional<double> limitPerSecond_;
     Common::Duration expected_{0};
     std::string lastReason_;
-    bool started_ = false;
-    bool answering_ = false;
+    bool streamStarted_ = false;
+    bool responding_ = false;
     bool everSent_ = false;
-    bool callerGone_ = false;
-    bool over_ = false;
+    bool callerDisconnected_ = false;
+    bool finished_ = false;
 };
 
 } // namespace LaburnumChute::Relay
