--- a/Source/Core/Relay/RelayKnowledge.cpp
+++ b/Source/Core/Relay/RelayKnowledge.cpp
@@ -159,7 +159,8 @@
         if (const auto share = Peers::decodeValue<Dispatch::RegionLoadReport>(heartbeat.share)) {
             applyEffects(scheduler_.setRegionLoadReport(sender.id, *share, now), now);
         }
-    } else if (const auto share = Peers::decodeValue<Dispatch::CrossRegionLoadReport>(heartbeat.share)) {
+    } else if (const auto share =
+                   Peers::decodeValue<Dispatch::CrossRegionLoadReport>(heartbeat.share)) {
         scheduler_.setCrossRegionLoadReport(sender.region, sender.id, *share, now);
     }
 }
