--- a/Source/Core/Decisions/Admission.cpp
+++ b/Source/Core/Decisions/Admission.cpp
@@ -163,7 +163,7 @@
     const double before = ahead(state, waiting.priority);
     if (before > mayWait) {
         const bool deadline = facts.deadline && longest == *facts.deadline - now;
-        const auto reason = deadline ? RefusalReason::DeadlineTooClose : RefusalReason::Overloaded;
+        const auto reason = deadline ? RejectReason::DeadlineTooClose : RejectReason::Overloaded;
         return AdmissionRefusal{reason, spreadOut(fromSeconds((before - mayWait) / rate))};
     }
     if (before < ContendedFrom * mayWait) {
@@ -174,13 +174,13 @@
     if (own > 0 && own + waiting.workTokens > share) {
         const double surplus = own + waiting.workTokens - share;
         return AdmissionRefusal{
-            RefusalReason::CustomerShare,
+            RejectReason::CustomerShare,
             spreadOut(fromSeconds(surplus / (rate * fairShare(waiting.customer))))};
     }
     const auto hot = state.byFingerprint.find(waiting.fingerprint);
     const double same = hot == state.byFingerprint.end() ? 0 : hot->second;
     if (same > 0 && same + waiting.workTokens > options_.hotKeyShare * mayWait) {
-        return AdmissionRefusal{RefusalReason::CustomerShare, spreadOut(fromSeconds(same / rate))};
+        return AdmissionRefusal{RejectReason::CustomerShare, spreadOut(fromSeconds(same / rate))};
     }
     return std::nullopt;
 }
--- a/Source/Core/Decisions/Admission.h
+++ b/Source/Core/Decisions/Admission.h
@@ -16,7 +16,7 @@
 /// Why a request is not let in, and when a new try has a fair chance.
 struct AdmissionRefusal
 {
-    RefusalReason reason = RefusalReason::Overloaded;
+    RejectReason reason = RejectReason::Overloaded;
     Duration retryAfter{0};
 };
 
--- a/Source/Core/Decisions/ConcurrencyLimit.cpp
+++ b/Source/Core/Decisions/ConcurrencyLimit.cpp
@@ -26,7 +26,7 @@
     return stated_ > 0 ? stated_ + options_.slack : UnstatedCeiling;
 }
 
-void ConcurrencyLimit::setStatedLimit(std::int64_t batchLimit)
+void ConcurrencyLimit::setBatchLimit(std::int64_t batchLimit)
 {
     if (batchLimit <= 0 || static_cast<double>(batchLimit) == stated_) {
         return;
--- a/Source/Core/Decisions/ConcurrencyLimit.h
+++ b/Source/Core/Decisions/ConcurrencyLimit.h
@@ -21,7 +21,7 @@
     explicit ConcurrencyLimit(const ConcurrencyOptions &options);
 
     /// The endpoint's own word: an upper bound.
-    void setStatedLimit(std::int64_t batchLimit);
+    void setBatchLimit(std::int64_t batchLimit);
     /// A first token came after `observedRatio` times the time that was expected as it was sent,
     /// with `inFlight` requests on the endpoint.
     void sample(double observedRatio, double inFlight);
--- a/Source/Core/Decisions/Ejection.cpp
+++ b/Source/Core/Decisions/Ejection.cpp
@@ -19,9 +19,9 @@
 {
 }
 
-void Ejection::succeeded(Slot slot, double ratio, Time now)
+void Ejection::succeeded(EndpointHandle handle, double ratio, Time now)
 {
-    auto &health = health_[slot];
+    auto &health = health_[handle];
     health.consecutiveFailures = 0;
     health.failureRate -= FailureWeight * health.failureRate;
     health.ratio += RatioWeight * (ratio - health.ratio);
@@ -32,31 +32,31 @@
     }
 }
 
-void Ejection::failed(Slot slot, Time /*now*/)
+void Ejection::failed(EndpointHandle handle, Time /*now*/)
 {
-    auto &health = health_[slot];
+    auto &health = health_[handle];
     ++health.consecutiveFailures;
     health.failureRate += FailureWeight * (1 - health.failureRate);
 }
 
-void Ejection::forget(Slot slot)
+void Ejection::forget(EndpointHandle handle)
 {
-    health_.erase(slot);
+    health_.erase(handle);
 }
 
-const Ejection::Health &Ejection::health(Slot slot) const
+const Ejection::Health &Ejection::health(EndpointHandle handle) const
 {
     static const Health unknown;
-    const auto found = health_.find(slot);
+    const auto found = health_.find(handle);
     return found == health_.end() ? unknown : found->second;
 }
 
-double Ejection::medianRatio(const std::vector<Slot> &group) const
+double Ejection::medianRatio(const std::vector<EndpointHandle> &group) const
 {
     std::vector<double> ratios;
     ratios.reserve(group.size());
-    for (const auto slot : group) {
-        ratios.push_back(health(slot).ratio);
+    for (const auto handle : group) {
+        ratios.push_back(health(handle).ratio);
     }
     const auto middle = ratios.begin() + static_cast<std::ptrdiff_t>(ratios.size() / 2);
     std::nth_element(ratios.begin(), middle, ratios.end());
@@ -82,7 +82,7 @@
     health.ratio = 1;
 }
 
-void Ejection::review(const std::vector<Slot> &group, Time now)
+void Ejection::review(const std::vector<EndpointHandle> &group, Time now)
 {
     if (group.empty()) {
         return;
@@ -90,8 +90,8 @@
     const double median = medianRatio(group);
     std::vector<Health *> deserving;
     std::size_t out = 0;
-    for (const auto slot : group) {
-        auto &health = health_[slot];
+    for (const auto handle : group) {
+        auto &health = health_[handle];
         health.panic = false;
         if (health.ejectedUntil > now) {
             ++out;
@@ -103,8 +103,8 @@
         static_cast<std::size_t>(options_.maxEjectedShare * static_cast<double>(group.size()));
     if (out + deserving.size() > allowed) {
         const bool panic = !deserving.empty();
-        for (const auto slot : group) {
-            health_[slot].panic = panic;
+        for (const auto handle : group) {
+            health_[handle].panic = panic;
         }
         return;
     }
@@ -113,33 +113,33 @@
     }
 }
 
-bool Ejection::excluded(Slot slot, Time now) const
+bool Ejection::excluded(EndpointHandle handle, Time now) const
 {
-    const auto &entry = health(slot);
+    const auto &entry = health(handle);
     return entry.ejectedUntil > now && !entry.panic;
 }
 
-double Ejection::costFactor(Slot slot) const
+double Ejection::costFactor(EndpointHandle handle) const
 {
-    const auto &entry = health(slot);
+    const auto &entry = health(handle);
     return std::max(1.0, entry.ratio) * (1 + FailureCost * entry.failureRate);
 }
 
-double Ejection::failingShare(const std::vector<Slot> &group) const
+double Ejection::failingShare(const std::vector<EndpointHandle> &group) const
 {
     if (group.empty()) {
         return 0;
     }
-    const auto failing = std::count_if(group.begin(), group.end(), [this](Slot slot) {
-        return health(slot).failureRate > FailingAbove;
+    const auto failing = std::count_if(group.begin(), group.end(), [this](EndpointHandle handle) {
+        return health(handle).failureRate > FailingAbove;
     });
     return static_cast<double>(failing) / static_cast<double>(group.size());
 }
 
-nlohmann::json Ejection::dump(Slot slot, Time now) const
+nlohmann::json Ejection::dump(EndpointHandle handle, Time now) const
 {
-    const auto &entry = health(slot);
-    return {{"excluded", excluded(slot, now)},
+    const auto &entry = health(handle);
+    return {{"excluded", excluded(handle, now)},
             {"panic", entry.panic},
             {"failure_rate", entry.failureRate},
             {"slowness", entry.ratio},
--- a/Source/Core/Decisions/Ejection.h
+++ b/Source/Core/Decisions/Ejection.h
@@ -27,18 +27,18 @@
     explicit Ejection(const EjectionOptions &options);
 
     /// @param ratio time to first token as a multiple of what the endpoint's load explains
-    void succeeded(Slot slot, double ratio, Time now);
-    void failed(Slot slot, Time now);
-    void forget(Slot slot);
+    void succeeded(EndpointHandle handle, double ratio, Time now);
+    void failed(EndpointHandle handle, Time now);
+    void forget(EndpointHandle handle);
     /// Judges the endpoints of one target, ejects within the bound and returns the ejected.
-    void review(const std::vector<Slot> &group, Time now);
+    void review(const std::vector<EndpointHandle> &group, Time now);
 
-    bool excluded(Slot slot, Time now) const;
+    bool excluded(EndpointHandle handle, Time now) const;
     /// Multiplies the expected time to first token: 1 for a usual endpoint.
-    double costFactor(Slot slot) const;
+    double costFactor(EndpointHandle handle) const;
     /// Share of the group whose recent tries failed.
-    double failingShare(const std::vector<Slot> &group) const;
-    nlohmann::json dump(Slot slot, Time now) const;
+    double failingShare(const std::vector<EndpointHandle> &group) const;
+    nlohmann::json dump(EndpointHandle handle, Time now) const;
 
 private:
     struct Health
@@ -52,13 +52,13 @@
         bool panic = false;
     };
 
-    double medianRatio(const std::vector<Slot> &group) const;
+    double medianRatio(const std::vector<EndpointHandle> &group) const;
     bool deserves(const Health &health, double median) const;
     void eject(Health &health, Time now);
-    const Health &health(Slot slot) const;
+    const Health &health(EndpointHandle handle) const;
 
     EjectionOptions options_;
-    std::unordered_map<Slot, Health> health_;
+    std::unordered_map<EndpointHandle, Health> health_;
 };
 
 } // namespace LaburnumChute::Decisions
--- a/Source/Core/Decisions/EndpointTable.cpp
+++ b/Source/Core/Decisions/EndpointTable.cpp
@@ -27,10 +27,11 @@
 {
 }
 
-std::vector<Slot> EndpointTable::update(const std::vector<EndpointFacts> &endpoints, Time now)
+std::vector<EndpointHandle> EndpointTable::update(const std::vector<EndpointFacts> &endpoints,
+                                                  Time now)
 {
-    for (const auto &[id, slot] : byId_) {
-        states_[slot]->listed = false;
+    for (const auto &[id, handle] : byId_) {
+        states_[handle]->listed = false;
     }
     for (const auto &facts : endpoints) {
         if (facts.region != home_) {
@@ -46,25 +47,26 @@
         if (!first_) {
             state->rampFrom = now;
         }
-        const Slot slot = free_.empty() ? static_cast<Slot>(states_.size()) : free_.back();
+        const EndpointHandle handle =
+            free_.empty() ? static_cast<EndpointHandle>(states_.size()) : free_.back();
         if (free_.empty()) {
             states_.push_back(std::move(state));
         } else {
             free_.pop_back();
-            states_[slot] = std::move(state);
+            states_[handle] = std::move(state);
         }
-        byId_[facts.id] = slot;
+        byId_[facts.id] = handle;
     }
     first_ = first_ && byId_.empty();
 
-    std::vector<Slot> gone;
+    std::vector<EndpointHandle> gone;
     for (auto entry = byId_.begin(); entry != byId_.end();) {
-        const Slot slot = entry->second;
-        const bool unused = !states_[slot]->listed && states_[slot]->load.ownInFlight() == 0;
+        const EndpointHandle handle = entry->second;
+        const bool unused = !states_[handle]->listed && states_[handle]->load.ownInFlight() == 0;
         entry = unused ? byId_.erase(entry) : std::next(entry);
         if (unused) {
-            gone.push_back(slot);
-            free_.push_back(slot);
+            gone.push_back(handle);
+            free_.push_back(handle);
         }
     }
     rebuildSubsets();
@@ -81,9 +83,9 @@
 {
     for (const auto &[target, subset] : subsets_) {
         const double users = static_cast<double>(instances_) / regionPerSubset(target);
-        for (const auto slot : subset) {
-            states_[slot]->users = std::max(1.0, users);
-            states_[slot]->load.setUsers(states_[slot]->users);
+        for (const auto handle : subset) {
+            states_[handle]->users = std::max(1.0, users);
+            states_[handle]->load.setUsers(states_[handle]->users);
         }
     }
 }
@@ -92,66 +94,66 @@
 {
     subsets_.clear();
     inRegion_.clear();
-    for (const auto &[id, slot] : byId_) {
-        const auto &state = *states_[slot];
+    for (const auto &[id, handle] : byId_) {
+        const auto &state = *states_[handle];
         if (!state.listed || state.facts.leaving) {
             continue;
         }
         for (const auto &target : state.facts.targets) {
-            subsets_[target.base()].push_back(slot);
+            subsets_[target.base()].push_back(handle);
         }
     }
     for (auto &[target, subset] : subsets_) {
         inRegion_[target] = subset.size();
-        std::vector<std::pair<std::uint64_t, Slot>> weighted;
+        std::vector<std::pair<std::uint64_t, EndpointHandle>> weighted;
         weighted.reserve(subset.size());
-        for (const auto slot : subset) {
+        for (const auto handle : subset) {
             weighted.emplace_back(
-                Common::rendezvousWeight(self_.text(), states_[slot]->facts.id.text()), slot);
+                Common::rendezvousWeight(self_.text(), states_[handle]->facts.id.text()), handle);
         }
         std::sort(weighted.rbegin(), weighted.rend());
         weighted.resize(std::min(weighted.size(), routing_->subsetSize));
         subset.clear();
-        for (const auto &[weight, slot] : weighted) {
-            subset.push_back(slot);
+        for (const auto &[weight, handle] : weighted) {
+            subset.push_back(handle);
         }
     }
     countUsers();
 }
 
-std::optional<Slot> EndpointTable::find(const EndpointId &endpoint) const
+std::optional<EndpointHandle> EndpointTable::find(const EndpointId &endpoint) const
 {
     const auto found = byId_.find(endpoint);
     return found == byId_.end() ? std::nullopt : std::optional(found->second);
 }
 
-const std::vector<Slot> &EndpointTable::candidates(const Target &base) const
+const std::vector<EndpointHandle> &EndpointTable::candidates(const Target &base) const
 {
-    static const std::vector<Slot> none;
+    static const std::vector<EndpointHandle> none;
     const auto found = subsets_.find(base);
     return found == subsets_.end() ? none : found->second;
 }
 
 bool EndpointTable::anyReachable(const Target &base) const
 {
-    const auto &slots = candidates(base);
-    return std::any_of(slots.begin(), slots.end(),
-                       [this](Slot slot) { return states_[slot]->reachable; });
+    const auto &handles = candidates(base);
+    return std::any_of(handles.begin(), handles.end(),
+                       [this](EndpointHandle handle) { return states_[handle]->reachable; });
 }
 
-std::vector<Slot> EndpointTable::slots() const
+std::vector<EndpointHandle> EndpointTable::handles() const
 {
-    std::vector<Slot> result;
-    for (const auto &[id, slot] : byId_) {
-        result.push_back(slot);
+    std::vector<EndpointHandle> result;
+    for (const auto &[id, handle] : byId_) {
+        result.push_back(handle);
     }
     std::sort(result.begin(), result.end());
     return result;
 }
 
-double EndpointTable::limit(Slot slot, Time now) const
+double EndpointTable::limit(EndpointHandle handle, Time now) const
 {
-    const auto &state = *states_[slot];
+    const auto &state = *states_[handle];
     const double full = state.limit.value() + unseenTurnover(state, now);
     if (!state.rampFrom) {
         return full;
@@ -169,18 +171,18 @@
     return batch * others * std::min(1.0, age / std::max(0.01, state.holdSeconds));
 }
 
-bool EndpointTable::hasRoom(Slot slot, Time now) const
+bool EndpointTable::hasRoom(EndpointHandle handle, Time now) const
 {
-    const auto &state = *states_[slot];
-    const double most = limit(slot, now);
+    const auto &state = *states_[handle];
+    const double most = limit(handle, now);
     const auto own = static_cast<double>(state.load.ownInFlight());
     const bool ownPart = state.users > 1 && own + 1 <= std::max(1.0, most / state.users);
     return ownPart || state.load.inFlight(now) + 1 <= most;
 }
 
-double EndpointTable::tokensPerSecond(Slot slot) const
+double EndpointTable::tokensPerSecond(EndpointHandle handle) const
 {
-    const auto &state = *states_[slot];
+    const auto &state = *states_[handle];
     const auto &report = state.load.lastReport();
     const double step = Common::toSeconds(report.stepTime);
     if (step > 0) {
@@ -196,8 +198,8 @@
 double EndpointTable::subsetCapacity(const Target &base) const
 {
     double sum = 0;
-    for (const auto slot : candidates(base)) {
-        sum += tokensPerSecond(slot);
+    for (const auto handle : candidates(base)) {
+        sum += tokensPerSecond(handle);
     }
     return sum;
 }
@@ -224,9 +226,9 @@
 double EndpointTable::freeCapacity(const Target &base, Time now) const
 {
     double sum = 0;
-    for (const auto slot : candidates(base)) {
-        const double free = 1 - states_[slot]->load.inFlight(now) / std::max(1.0, limit(slot, now));
-        sum += tokensPerSecond(slot) * std::clamp(free, 0.0, 1.0);
+    for (const auto handle : candidates(base)) {
+        const double free = 1 - states_[handle]->load.inFlight(now) / std::max(1.0, limit(handle, now));
+        sum += tokensPerSecond(handle) * std::clamp(free, 0.0, 1.0);
     }
     return sum * regionPerSubset(base);
 }
--- a/Source/Core/Decisions/EndpointTable.h
+++ b/Source/Core/Decisions/EndpointTable.h
@@ -53,43 +53,43 @@
                   InstanceId self, RegionName home);
 
     /// Returns the slots that were given up: nothing may be remembered of them.
-    std::vector<Slot> update(const std::vector<EndpointFacts> &endpoints, Time now);
+    std::vector<EndpointHandle> update(const std::vector<EndpointFacts> &endpoints, Time now);
     void setInstances(std::size_t instances);
     std::size_t instances() const
     {
         return instances_;
     }
 
-    std::optional<Slot> find(const EndpointId &endpoint) const;
-    EndpointState &at(Slot slot)
+    std::optional<EndpointHandle> find(const EndpointId &endpoint) const;
+    EndpointState &at(EndpointHandle handle)
     {
-        return *states_[slot];
+        return *states_[handle];
     }
-    const EndpointState &at(Slot slot) const
+    const EndpointState &at(EndpointHandle handle) const
     {
-        return *states_[slot];
+        return *states_[handle];
     }
     /// The subset for a target without adapter; endpoints that leave are not in it.
-    const std::vector<Slot> &candidates(const Target &base) const;
-    const std::map<Target, std::vector<Slot>> &targets() const
+    const std::vector<EndpointHandle> &candidates(const Target &base) const;
+    const std::map<Target, std::vector<EndpointHandle>> &targets() const
     {
         return subsets_;
     }
     /// Whether some candidate of the target is reachable; with none all are worth a try.
     bool anyReachable(const Target &base) const;
     /// All slots in use.
-    std::vector<Slot> slots() const;
+    std::vector<EndpointHandle> handles() const;
 
     /// Requests that all instances together may have on the endpoint now.
-    double limit(Slot slot, Time now) const;
+    double limit(EndpointHandle handle, Time now) const;
     /// Whether one more may be sent: always within this instance's equal part of the limit, beyond
     /// it only while the endpoint as a whole seems to have room. Without the first rule an instance
     /// that has nothing on a busy endpoint never gets a place there: the others, who see their own
     /// requests end, refill each place before the next report shows it free. Its callers then time
     /// out while those of its neighbours are served at once.
-    bool hasRoom(Slot slot, Time now) const;
+    bool hasRoom(EndpointHandle handle, Time now) const;
     /// Decode tokens a second at full batch; 0 when nothing is known.
-    double tokensPerSecond(Slot slot) const;
+    double tokensPerSecond(EndpointHandle handle) const;
     /// This instance's share of what its subset can do, in decode tokens a second.
     double capacity(const Target &base) const;
     /// The whole region's capacity, judged by the subset.
@@ -115,9 +115,9 @@
     std::size_t instances_ = 1;
     bool first_ = true;
     std::vector<std::unique_ptr<EndpointState>> states_;
-    std::vector<Slot> free_;
-    std::unordered_map<EndpointId, Slot> byId_;
-    std::map<Target, std::vector<Slot>> subsets_;
+    std::vector<EndpointHandle> free_;
+    std::unordered_map<EndpointId, EndpointHandle> byId_;
+    std::map<Target, std::vector<EndpointHandle>> subsets_;
     std::map<Target, std::size_t> inRegion_;
 };
 
--- a/Source/Core/Decisions/Facts.cpp
+++ b/Source/Core/Decisions/Facts.cpp
@@ -24,24 +24,24 @@
     return kind + target.name + adapter;
 }
 
-std::string_view toString(RefusalReason reason)
+std::string_view toString(RejectReason reason)
 {
     switch (reason) {
-    case RefusalReason::Overloaded:
+    case RejectReason::Overloaded:
         return "overloaded";
-    case RefusalReason::CustomerShare:
+    case RejectReason::CustomerShare:
         return "customer share used";
-    case RefusalReason::DeadlineTooClose:
+    case RejectReason::DeadlineTooClose:
         return "deadline too close";
-    case RefusalReason::NoEndpoint:
+    case RejectReason::NoEndpoint:
         return "no endpoint";
-    case RefusalReason::Residency:
+    case RejectReason::Residency:
         return "residency";
-    case RefusalReason::Quarantined:
+    case RejectReason::Quarantined:
         return "quarantined";
-    case RefusalReason::Failed:
+    case RejectReason::Failed:
         return "failed";
-    case RefusalReason::TimedOut:
+    case RejectReason::TimedOut:
         return "timed out";
     }
     return "";
--- a/Source/Core/Decisions/Facts.h
+++ b/Source/Core/Decisions/Facts.h
@@ -75,7 +75,7 @@
     std::vector<RegionName> allowedRegions;
     /// The region that forwarded it; empty when it comes from a caller. A forwarded request is
     /// never forwarded again.
-    RegionName arrivedFrom;
+    RegionName forwardedFrom;
     std::int64_t promptTokens = 0;
     /// Bounded by the caller's max_tokens.
     std::int64_t expectedOutputTokens = 0;
@@ -194,7 +194,7 @@
     }
 };
 
-enum class RefusalReason {
+enum class RejectReason {
     /// Admission or queue: more work than the endpoints can take.
     Overloaded,
     /// The customer has used its share and others wait.
@@ -212,7 +212,7 @@
     TimedOut,
 };
 
-std::string_view toString(RefusalReason reason);
+std::string_view toString(RejectReason reason);
 std::string_view toString(Outcome outcome);
 
 /// Send the request to the endpoint now.
@@ -234,10 +234,10 @@
 };
 
 /// Tell the caller at once; the scheduler has forgotten the request.
-struct Refuse
+struct Reject
 {
     RequestId request;
-    RefusalReason reason = RefusalReason::Overloaded;
+    RejectReason reason = RejectReason::Overloaded;
     RunState run = RunState::NotRun;
     /// When a new try has a fair chance; zero when waiting does not help.
     Duration retryAfter{0};
@@ -258,7 +258,7 @@
     EndpointId endpoint;
 };
 
-using Effect = std::variant<Dispatch, Forward, Refuse, Drop, CancelOnEndpoint>;
+using Effect = std::variant<Dispatch, Forward, Reject, Drop, CancelOnEndpoint>;
 using Effects = std::vector<Effect>;
 
 /// Demand for one target as measured here, for placement.
--- a/Source/Core/Decisions/Placement.cpp
+++ b/Source/Core/Decisions/Placement.cpp
@@ -22,7 +22,7 @@
 {
 }
 
-int Placement::wanted(const PlainTargetPlacement &policy, const TargetDemand &demand,
+int Placement::wanted(const UtilisationPlacement &policy, const TargetDemand &demand,
                       double tokensPerSecond, int /*current*/)
 {
     return roundedUp(demand.mean / (tokensPerSecond * policy.utilisation));
--- a/Source/Core/Decisions/Placement.h
+++ b/Source/Core/Decisions/Placement.h
@@ -7,7 +7,7 @@
 namespace LaburnumChute::Decisions {
 
 /// Enough runners for the mean demand at a target utilisation.
-struct PlainTargetPlacement
+struct UtilisationPlacement
 {
     /// Share of a runner's rate that is planned for.
     double utilisation = 0.7;
@@ -36,11 +36,11 @@
     double derivative = 1.0 / 3;
 };
 
-using PlacementPolicy = std::variant<PlainTargetPlacement, VariancePlacement, ControllerPlacement>;
+using PlacementPolicy = std::variant<UtilisationPlacement, VariancePlacement, ControllerPlacement>;
 
 struct PlacementOptions
 {
-    PlacementPolicy policy = PlainTargetPlacement{};
+    PlacementPolicy policy = UtilisationPlacement{};
     int minimum = 1;
     /// Fewer runners are wanted only after demand has asked for fewer this long: unloading a model
     /// is cheap and loading it again costs the rate-limited weight store minutes.
@@ -63,7 +63,7 @@
     int desired(const TargetDemand &demand, double tokensPerSecond, int current, Time now);
 
 private:
-    int wanted(const PlainTargetPlacement &policy, const TargetDemand &demand,
+    int wanted(const UtilisationPlacement &policy, const TargetDemand &demand,
                double tokensPerSecond, int current);
     int wanted(const VariancePlacement &policy, const TargetDemand &demand, double tokensPerSecond,
                int current);
--- a/Source/Core/Decisions/PrefixIndex.cpp
+++ b/Source/Core/Decisions/PrefixIndex.cpp
@@ -4,10 +4,10 @@
 
 namespace LaburnumChute::Decisions {
 
-std::int64_t PrefixHolders::cachedTokens(Slot slot) const
+std::int64_t PrefixHolders::cachedTokens(EndpointHandle handle) const
 {
     for (std::size_t index = 0; index < count; ++index) {
-        if (holders[index].slot == slot) {
+        if (holders[index].handle == handle) {
             return holders[index].cachedTokens;
         }
     }
@@ -19,48 +19,48 @@
 {
 }
 
-void PrefixIndex::stored(Slot slot, std::uint64_t block)
+void PrefixIndex::stored(EndpointHandle handle, std::uint64_t block)
 {
     auto &positions = byBlock_[block];
     for (const auto position : positions) {
-        if (position->slot == slot) {
+        if (position->handle == handle) {
             byAge_.splice(byAge_.end(), byAge_, position);
             return;
         }
     }
-    byAge_.push_back({block, slot});
+    byAge_.push_back({block, handle});
     positions.push_back(std::prev(byAge_.end()));
     if (byAge_.size() > maxEntries_) {
         erase(byAge_.begin());
     }
 }
 
-void PrefixIndex::stored(Slot slot, const std::vector<std::uint64_t> &blocks)
+void PrefixIndex::stored(EndpointHandle handle, const std::vector<std::uint64_t> &blocks)
 {
     for (const auto block : blocks) {
-        stored(slot, block);
+        stored(handle, block);
     }
 }
 
-void PrefixIndex::evicted(Slot slot, std::uint64_t block)
+void PrefixIndex::evicted(EndpointHandle handle, std::uint64_t block)
 {
     const auto found = byBlock_.find(block);
     if (found == byBlock_.end()) {
         return;
     }
     for (const auto position : found->second) {
-        if (position->slot == slot) {
+        if (position->handle == handle) {
             erase(position);
             return;
         }
     }
 }
 
-void PrefixIndex::forget(Slot slot)
+void PrefixIndex::forget(EndpointHandle handle)
 {
     for (auto position = byAge_.begin(); position != byAge_.end();) {
         const auto next = std::next(position);
-        if (position->slot == slot) {
+        if (position->handle == handle) {
             erase(position);
         }
         position = next;
@@ -86,11 +86,11 @@
             continue;
         }
         for (const auto position : found->second) {
-            if (result.cachedTokens(position->slot) > 0) {
+            if (result.cachedTokens(position->handle) > 0) {
                 continue;
             }
             const auto tokens = static_cast<std::int64_t>(depth) * BlockTokens;
-            result.holders[result.count++] = {position->slot, tokens};
+            result.holders[result.count++] = {position->handle, tokens};
             if (result.count == PrefixHolders::Most) {
                 return result;
             }
--- a/Source/Core/Decisions/PrefixIndex.h
+++ b/Source/Core/Decisions/PrefixIndex.h
@@ -11,14 +11,14 @@
 namespace LaburnumChute::Decisions {
 
 /// Position of an endpoint in the scheduler's table.
-using Slot = std::uint32_t;
+using EndpointHandle = std::uint32_t;
 
 /// Prompt tokens of one cached block, as docs/PROTOCOLS.md cuts prompts.
 inline constexpr std::int64_t BlockTokens = 64;
 
 struct PrefixHolder
 {
-    Slot slot = 0;
+    EndpointHandle handle = 0;
     std::int64_t cachedTokens = 0;
 };
 
@@ -29,7 +29,7 @@
     std::array<PrefixHolder, Most> holders;
     std::size_t count = 0;
 
-    std::int64_t cachedTokens(Slot slot) const;
+    std::int64_t cachedTokens(EndpointHandle handle) const;
 };
 
 /// Which endpoint holds which prompt prefix, as far as known from own sends and cache events.
@@ -43,11 +43,11 @@
 public:
     explicit PrefixIndex(std::size_t maxEntries);
 
-    void stored(Slot slot, std::uint64_t block);
-    void stored(Slot slot, const std::vector<std::uint64_t> &blocks);
-    void evicted(Slot slot, std::uint64_t block);
+    void stored(EndpointHandle handle, std::uint64_t block);
+    void stored(EndpointHandle handle, const std::vector<std::uint64_t> &blocks);
+    void evicted(EndpointHandle handle, std::uint64_t block);
     /// Drops all entries of an endpoint that died or left: its cache is gone.
-    void forget(Slot slot);
+    void forget(EndpointHandle handle);
 
     PrefixHolders holders(const std::vector<std::uint64_t> &blocks) const;
     std::size_t size() const
@@ -59,7 +59,7 @@
     struct Entry
     {
         std::uint64_t block = 0;
-        Slot slot = 0;
+        EndpointHandle handle = 0;
     };
     using Position = std::list<Entry>::iterator;
 
--- a/Source/Core/Decisions/Router.cpp
+++ b/Source/Core/Decisions/Router.cpp
@@ -44,12 +44,12 @@
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(wait));
 }
 
-Placed Router::placed(Slot slot, const Context &context) const
+Placed Router::placed(EndpointHandle handle, const Context &context) const
 {
-    const auto &state = context.table.at(slot);
+    const auto &state = context.table.at(handle);
     const auto uncached =
-        std::max<std::int64_t>(0, context.facts.promptTokens - context.holders.cachedTokens(slot));
-    Placed result{slot, static_cast<double>(uncached), {}};
+        std::max<std::int64_t>(0, context.facts.promptTokens - context.holders.cachedTokens(handle));
+    Placed result{handle, static_cast<double>(uncached), {}};
     result.expectedFirstToken = expectedFirstToken(state, result.prefillTokens, context.now);
     return result;
 }
@@ -57,9 +57,9 @@
 double Router::cost(const Placed &placed, const ExpectedCostPolicy &policy,
                     const Context &context) const
 {
-    const auto &state = context.table.at(placed.slot);
+    const auto &state = context.table.at(placed.handle);
     double seconds = Common::toSeconds(placed.expectedFirstToken);
-    seconds *= context.ejection.costFactor(placed.slot);
+    seconds *= context.ejection.costFactor(placed.handle);
     seconds += policy.prefillWeight * placed.prefillTokens / prefillRate(state);
     const double steps = static_cast<double>(context.facts.expectedOutputTokens)
                          * Common::toSeconds(state.load.lastReport().stepTime);
@@ -85,20 +85,20 @@
 }
 
 std::optional<Placed> Router::pick(const ExpectedCostPolicy &policy, const Context &context,
-                                   const std::vector<Slot> &candidates)
+                                   const std::vector<EndpointHandle> &candidates)
 {
     std::optional<Placed> best;
     double bestCost = std::numeric_limits<double>::infinity();
     double bestFull = std::numeric_limits<double>::infinity();
-    const auto consider = [&](Slot slot) {
-        if (context.ejection.excluded(slot, context.now) || !context.allowed(slot)) {
+    const auto consider = [&](EndpointHandle handle) {
+        if (context.ejection.excluded(handle, context.now) || !context.allowed(handle)) {
             return false;
         }
-        const bool room = context.table.hasRoom(slot, context.now);
+        const bool room = context.table.hasRoom(handle, context.now);
         if (!room && !context.mayHold) {
             return false;
         }
-        const auto candidate = placed(slot, context);
+        const auto candidate = placed(handle, context);
         const double candidateCost = cost(candidate, policy, context);
         if (!room) {
             bestFull = std::min(bestFull, candidateCost);
@@ -115,9 +115,9 @@
     const bool all = candidates.size() <= static_cast<std::size_t>(policy.compareAllUpTo);
     if (!all) {
         for (std::size_t index = 0; index < context.holders.count; ++index) {
-            const Slot slot = context.holders.holders[index].slot;
-            if (std::find(candidates.begin(), candidates.end(), slot) != candidates.end()) {
-                consider(slot);
+            const EndpointHandle handle = context.holders.holders[index].handle;
+            if (std::find(candidates.begin(), candidates.end(), handle) != candidates.end()) {
+                consider(handle);
             }
         }
     }
@@ -125,16 +125,16 @@
     // search goes on until it has seen enough endpoints with room.
     int found = 0;
     for (std::size_t offset = 0; offset < candidates.size(); ++offset) {
-        const Slot slot = candidates[(start + offset) % candidates.size()];
-        found += consider(slot) ? 1 : 0;
+        const EndpointHandle handle = candidates[(start + offset) % candidates.size()];
+        found += consider(handle) ? 1 : 0;
         if (!all && found >= policy.choices) {
             break;
         }
     }
     // While an endpoint is half idle a prefill there holds up nobody.
     const bool busy = best
-                      && context.table.at(best->slot).load.inFlight(context.now)
-                             > HalfIdle * context.table.limit(best->slot, context.now);
+                      && context.table.at(best->handle).load.inFlight(context.now)
+                             > HalfIdle * context.table.limit(best->handle, context.now);
     if (busy && bestFull < bestCost) {
         return std::nullopt;
     }
@@ -142,30 +142,30 @@
 }
 
 std::optional<Placed> Router::pick(const RoundRobinPolicy & /*policy*/, const Context &context,
-                                   const std::vector<Slot> &candidates)
+                                   const std::vector<EndpointHandle> &candidates)
 {
     return placed(candidates[turn_++ % candidates.size()], context);
 }
 
 std::optional<Placed> Router::pick(const LeastInFlightPolicy & /*policy*/, const Context &context,
-                                   const std::vector<Slot> &candidates)
+                                   const std::vector<EndpointHandle> &candidates)
 {
     const std::size_t start = randomBelow(candidates.size());
-    Slot best = candidates[start];
+    EndpointHandle best = candidates[start];
     for (std::size_t offset = 1; offset < candidates.size(); ++offset) {
-        const Slot slot = candidates[(start + offset) % candidates.size()];
-        if (context.table.at(slot).load.ownInFlight() < context.table.at(best).load.ownInFlight()) {
-            best = slot;
+        const EndpointHandle handle = candidates[(start + offset) % candidates.size()];
+        if (context.table.at(handle).load.ownInFlight() < context.table.at(best).load.ownInFlight()) {
+            best = handle;
         }
     }
     return placed(best, context);
 }
 
 std::optional<Placed> Router::pick(const RandomOfTwoPolicy & /*policy*/, const Context &context,
-                                   const std::vector<Slot> &candidates)
+                                   const std::vector<EndpointHandle> &candidates)
 {
-    const Slot one = candidates[randomBelow(candidates.size())];
-    const Slot two = candidates[randomBelow(candidates.size())];
+    const EndpointHandle one = candidates[randomBelow(candidates.size())];
+    const EndpointHandle two = candidates[randomBelow(candidates.size())];
     const bool second = context.table.at(two).load.inFlight(context.now)
                         < context.table.at(one).load.inFlight(context.now);
     return placed(second ? two : one, context);
--- a/Source/Core/Decisions/Router.h
+++ b/Source/Core/Decisions/Router.h
@@ -13,7 +13,7 @@
 
 struct Placed
 {
-    Slot slot = 0;
+    EndpointHandle handle = 0;
     /// Prompt tokens thought not to be cached there.
     double prefillTokens = 0;
     Duration expectedFirstToken{0};
@@ -32,7 +32,7 @@
 {
 public:
     /// False for an endpoint that this request must not go to.
-    using Allowed = std::function<bool(Slot)>;
+    using Allowed = std::function<bool(EndpointHandle)>;
 
     Router(const RoutingOptions &options, std::uint64_t seed);
 
@@ -56,14 +56,14 @@
     };
 
     std::optional<Placed> pick(const ExpectedCostPolicy &policy, const Context &context,
-                               const std::vector<Slot> &candidates);
+                               const std::vector<EndpointHandle> &candidates);
     std::optional<Placed> pick(const RoundRobinPolicy &policy, const Context &context,
-                               const std::vector<Slot> &candidates);
+                               const std::vector<EndpointHandle> &candidates);
     std::optional<Placed> pick(const LeastInFlightPolicy &policy, const Context &context,
-                               const std::vector<Slot> &candidates);
+                               const std::vector<EndpointHandle> &candidates);
     std::optional<Placed> pick(const RandomOfTwoPolicy &policy, const Context &context,
-                               const std::vector<Slot> &candidates);
-    Placed placed(Slot slot, const Context &context) const;
+                               const std::vector<EndpointHandle> &candidates);
+    Placed placed(EndpointHandle handle, const Context &context) const;
     double cost(const Placed &placed, const ExpectedCostPolicy &policy,
                 const Context &context) const;
     std::size_t randomBelow(std::size_t bound);
--- a/Source/Core/Decisions/Scheduler.cpp
+++ b/Source/Core/Decisions/Scheduler.cpp
@@ -72,13 +72,13 @@
 {
     parts_->lastNow = now;
     Effects effects;
-    const auto slot = parts_->table.find(endpoint);
-    if (!slot) {
+    const auto handle = parts_->table.find(endpoint);
+    if (!handle) {
         return effects;
     }
-    auto &state = parts_->table.at(*slot);
+    auto &state = parts_->table.at(*handle);
     state.load.report(report, now);
-    state.limit.setStatedLimit(report.batchLimit);
+    state.limit.setBatchLimit(report.batchLimit);
     for (const auto &target : state.facts.targets) {
         parts_->drain(target.base(), now, effects);
     }
@@ -89,13 +89,13 @@
 {
     parts_->lastNow = now;
     Effects effects;
-    const auto slot = parts_->table.find(endpoint);
-    if (!slot) {
+    const auto handle = parts_->table.find(endpoint);
+    if (!handle) {
         return effects;
     }
-    auto &state = parts_->table.at(*slot);
+    auto &state = parts_->table.at(*handle);
     if (!reachable && state.reachable) {
-        parts_->prefixes.forget(*slot);
+        parts_->prefixes.forget(*handle);
     }
     if (reachable && !state.reachable) {
         state.rampFrom = now;
@@ -111,11 +111,11 @@
                               std::uint64_t prefix, std::int64_t /*tokens*/, Time now)
 {
     parts_->lastNow = now;
-    const auto slot = parts_->table.find(endpoint);
-    if (slot && operation == CacheOperation::Stored) {
-        parts_->prefixes.stored(*slot, prefix);
-    } else if (slot) {
-        parts_->prefixes.evicted(*slot, prefix);
+    const auto handle = parts_->table.find(endpoint);
+    if (handle && operation == CacheOperation::Stored) {
+        parts_->prefixes.stored(*handle, prefix);
+    } else if (handle) {
+        parts_->prefixes.evicted(*handle, prefix);
     }
     return {};
 }
@@ -169,7 +169,7 @@
 std::vector<RegionSummary> Scheduler::regionSummary(Time now) const
 {
     std::vector<RegionSummary> result;
-    for (const auto &[target, slots] : parts_->table.targets()) {
+    for (const auto &[target, handles] : parts_->table.targets()) {
         const double region = parts_->table.regionCapacity(target);
         RegionSummary summary;
         summary.region = parts_->home;
--- a/Source/Core/Decisions/SchedulerParts.cpp
+++ b/Source/Core/Decisions/SchedulerParts.cpp
@@ -50,8 +50,8 @@
 
 double Scheduler::Parts::prefillRate(const Target &base) const
 {
-    for (const auto slot : table.candidates(base)) {
-        const double rate = table.at(slot).load.lastReport().prefillTokensPerSecond;
+    for (const auto handle : table.candidates(base)) {
+        const double rate = table.at(handle).load.lastReport().prefillTokensPerSecond;
         if (rate > 0) {
             return rate;
         }
@@ -61,9 +61,9 @@
 
 double Scheduler::Parts::prefillWeight(const Target &base) const
 {
-    for (const auto slot : table.candidates(base)) {
-        const double decode = table.tokensPerSecond(slot);
-        const double prefill = table.at(slot).load.lastReport().prefillTokensPerSecond;
+    for (const auto handle : table.candidates(base)) {
+        const double decode = table.tokensPerSecond(handle);
+        const double prefill = table.at(handle).load.lastReport().prefillTokensPerSecond;
         if (decode > 0 && prefill > 0) {
             return std::clamp(decode / prefill, 0.001, 1.0);
         }
@@ -91,14 +91,14 @@
     return {false, wait + request.waiting.firstTokenWork};
 }
 
-bool Scheduler::Parts::suspectMayUse(const RequestFacts &facts, Slot slot, Time now) const
+bool Scheduler::Parts::suspectMayUse(const RequestFacts &facts, EndpointHandle handle, Time now) const
 {
     const auto fingerprint = facts.fingerprint;
     const bool lone = table.candidates(facts.target.base()).size() == 1;
-    if (!lone && quarantine.diedOn(fingerprint, table.at(slot).facts.id)) {
+    if (!lone && quarantine.diedOn(fingerprint, table.at(handle).facts.id)) {
         return false;
     }
-    const auto found = onSlot.find(slot);
+    const auto found = onSlot.find(handle);
     if (found == onSlot.end()) {
         return true;
     }
@@ -110,22 +110,22 @@
 }
 
 /// Neither unreachable nor tried before by this request.
-bool Scheduler::Parts::usable(const RequestState &request, Slot slot) const
+bool Scheduler::Parts::usable(const RequestState &request, EndpointHandle handle) const
 {
-    const auto &state = table.at(slot);
+    const auto &state = table.at(handle);
     const auto &tried = request.tried;
     return state.reachable && std::find(tried.begin(), tried.end(), state.facts.id) == tried.end();
 }
 
 bool Scheduler::Parts::untriedLeft(const RequestState &request) const
 {
-    const auto &slots = table.candidates(request.facts.target.base());
-    return std::any_of(slots.begin(), slots.end(),
-                       [&](Slot slot) { return usable(request, slot); });
+    const auto &handles = table.candidates(request.facts.target.base());
+    return std::any_of(handles.begin(), handles.end(),
+                       [&](EndpointHandle handle) { return usable(request, handle); });
 }
 
 std::optional<Placed> Scheduler::Parts::place(const RequestState &request, Time now,
-                                              std::optional<Slot> except)
+                                              std::optional<EndpointHandle> except)
 {
     const auto fingerprint = request.facts.fingerprint;
     const auto verdict = quarantine.verdict(fingerprint, now);
@@ -137,11 +137,11 @@
     // idle: without this it would draw work for as long as the ejection bound keeps it in.
     const bool untried = !request.tried.empty() && untriedLeft(request);
     const bool reachable = table.anyReachable(request.facts.target.base());
-    const auto allowed = [&](Slot slot) {
-        if (untried ? !usable(request, slot) : reachable && !table.at(slot).reachable) {
+    const auto allowed = [&](EndpointHandle handle) {
+        if (untried ? !usable(request, handle) : reachable && !table.at(handle).reachable) {
             return false;
         }
-        return (!except || slot != *except) && (!apart || suspectMayUse(request.facts, slot, now));
+        return (!except || handle != *except) && (!apart || suspectMayUse(request.facts, handle, now));
     };
     const auto *policy = std::get_if<ExpectedCostPolicy>(&options.routing.policy);
     const bool mayHold = policy != nullptr && !except && request.facts.patience != Patience::Long
@@ -153,9 +153,9 @@
                                 Effects &effects)
 {
     const RequestId &id = request.facts.id;
-    auto &state = table.at(placed.slot);
+    auto &state = table.at(placed.handle);
     Try sent;
-    sent.slot = placed.slot;
+    sent.handle = placed.handle;
     sent.endpoint = state.facts.id;
     sent.sentAt = now;
     sent.prefillTokens = placed.prefillTokens;
@@ -166,8 +166,8 @@
     sent.countedSuspect = quarantine.started(request.facts.fingerprint);
 
     state.load.sent(placed.prefillTokens, now);
-    onSlot[placed.slot].insert(id);
-    prefixes.stored(placed.slot, request.facts.prefixBlocks);
+    onSlot[placed.handle].insert(id);
+    prefixes.stored(placed.handle, request.facts.prefixBlocks);
     admission.started(request.facts.customer, request.waiting.workTokens, now);
     request.phase = Phase::Running;
     request.tried.push_back(sent.endpoint);
@@ -237,7 +237,7 @@
     backingOff.emplace(until, request.facts.id);
 }
 
-void Scheduler::Parts::refuse(const RequestId &id, RefusalReason reason, RunState run,
+void Scheduler::Parts::refuse(const RequestId &id, RejectReason reason, RunState run,
                               Duration retryAfter, Time now, Effects &effects)
 {
     const auto found = requests.find(id);
@@ -245,7 +245,7 @@
     const auto claim =
         found->second.mayHaveRun && run == RunState::NotRun ? RunState::Unknown : run;
     note(id, now, "refused:", std::string(toString(reason)), retryAfter);
-    effects.push_back(Refuse{id, reason, claim, retryAfter});
+    effects.push_back(Reject{id, reason, claim, retryAfter});
     unqueue(found->second, now);
     backingOff.erase({found->second.nextTryAt, id});
     requests.erase(found);
--- a/Source/Core/Decisions/SchedulerParts.h
+++ b/Source/Core/Decisions/SchedulerParts.h
@@ -26,7 +26,7 @@
 /// One try of a request on one endpoint.
 struct Try
 {
-    Slot slot = 0;
+    EndpointHandle handle = 0;
     EndpointId endpoint;
     Time sentAt{};
     double prefillTokens = 0;
@@ -97,17 +97,17 @@
     double prefillRate(const Target &base) const;
     HomeOffer homeOffer(const RequestState &request, Time now) const;
     bool homeAllowed(const RequestFacts &facts) const;
-    bool usable(const RequestState &request, Slot slot) const;
+    bool usable(const RequestState &request, EndpointHandle handle) const;
     bool untriedLeft(const RequestState &request) const;
     bool suffering(const Target &base) const;
-    bool suspectMayUse(const RequestFacts &facts, Slot slot, Time now) const;
+    bool suspectMayUse(const RequestFacts &facts, EndpointHandle handle, Time now) const;
     std::size_t waitingRequests() const;
     std::optional<Time> nextWakeup() const;
     nlohmann::json dump(Time now) const;
 
     // Steps.
     std::optional<Placed> place(const RequestState &request, Time now,
-                                std::optional<Slot> except = {});
+                                std::optional<EndpointHandle> except = {});
     void dispatch(RequestState &request, const Placed &placed, bool hedge, Time now,
                   Effects &effects);
     bool forward(RequestState &request, Time now, Effects &effects);
@@ -115,15 +115,15 @@
     void enqueue(RequestState &request, Time now);
     void unqueue(const RequestState &request, Time now);
     void backOff(RequestState &request, Time until);
-    void refuse(const RequestId &id, RefusalReason reason, RunState run, Duration retryAfter,
+    void refuse(const RequestId &id, RejectReason reason, RunState run, Duration retryAfter,
                 Time now, Effects &effects);
     void refuseWithoutPlace(const RequestId &id, Time now, Effects &effects);
     void settleAtHome(const RequestId &id, Time now, Effects &effects);
     void releaseTry(RequestState &request, const Try &ended, Outcome outcome, Time now);
-    void endpointDied(Slot slot, Time now);
+    void endpointDied(EndpointHandle handle, Time now);
     void afterFailure(const RequestId &id, Outcome outcome, Time now, Effects &effects);
     void forwardEnded(const RequestId &id, Outcome outcome, Time now, Effects &effects);
-    void cancelTries(RequestState &request, std::optional<Slot> except, Effects &effects);
+    void cancelTries(RequestState &request, std::optional<EndpointHandle> except, Effects &effects);
     void retryDue(Time now, Effects &effects);
     void refuseExpired(Time now, Effects &effects);
     void spillOldest(Time now, Effects &effects);
@@ -148,7 +148,7 @@
     DecisionTrace trace;
     std::unordered_map<RequestId, RequestState> requests;
     std::map<Target, WaitQueue> queues;
-    std::unordered_map<Slot, std::unordered_set<RequestId>> onSlot;
+    std::unordered_map<EndpointHandle, std::unordered_set<RequestId>> onSlot;
     std::set<std::pair<Time, RequestId>> backingOff;
     std::set<std::pair<Time, RequestId>> hedgeAt;
     /// Generated tokens as a share of the expected ones, by target.
--- a/Source/Core/Decisions/SchedulerRequests.cpp
+++ b/Source/Core/Decisions/SchedulerRequests.cpp
@@ -66,7 +66,7 @@
     const auto base = request.facts.target.base();
     const auto fingerprint = request.facts.fingerprint;
     if (quarantine.verdict(fingerprint, now) == Verdict::Quarantined) {
-        refuse(id, RefusalReason::Quarantined, RunState::NotRun,
+        refuse(id, RejectReason::Quarantined, RunState::NotRun,
                quarantine.retryAfter(fingerprint, now), now, effects);
         return;
     }
@@ -93,7 +93,7 @@
         return;
     }
     if (waitingRequests() >= options.queue.limit) {
-        refuse(id, RefusalReason::Overloaded, RunState::NotRun, FailureRetryAfter, now, effects);
+        refuse(id, RejectReason::Overloaded, RunState::NotRun, FailureRetryAfter, now, effects);
         return;
     }
     note(id, now, "waits for", toString(base), homeOffer(request, now).expectedFirstToken,
@@ -108,13 +108,13 @@
     if (!homeAllowed(request.facts)) {
         // An allowed region that turned it away may have room later.
         const bool later = request.wasForwarded;
-        refuse(id, later ? RefusalReason::Overloaded : RefusalReason::Residency, RunState::NotRun,
+        refuse(id, later ? RejectReason::Overloaded : RejectReason::Residency, RunState::NotRun,
                later ? FailureRetryAfter : Duration(0), now, effects);
         return;
     }
     // A region that could take it, but whose share for us is used up, is worth a new try.
     const bool later = spill.servedElsewhere(request.facts, now);
-    refuse(id, later ? RefusalReason::Overloaded : RefusalReason::NoEndpoint, RunState::NotRun,
+    refuse(id, later ? RejectReason::Overloaded : RejectReason::NoEndpoint, RunState::NotRun,
            admission.spreadOut(later ? ElsewhereRetryAfter : NoEndpointRetryAfter), now, effects);
 }
 
@@ -144,7 +144,7 @@
     const auto fingerprint = request.facts.fingerprint;
     const auto verdict = quarantine.verdict(fingerprint, now);
     if (verdict == Verdict::Quarantined) {
-        refuse(id, RefusalReason::Quarantined, RunState::NotRun,
+        refuse(id, RejectReason::Quarantined, RunState::NotRun,
                quarantine.retryAfter(fingerprint, now), now, effects);
         return true;
     }
@@ -170,11 +170,11 @@
     }
 }
 
-void Scheduler::Parts::cancelTries(RequestState &request, std::optional<Slot> except,
+void Scheduler::Parts::cancelTries(RequestState &request, std::optional<EndpointHandle> except,
                                    Effects &effects)
 {
     for (auto &entry : request.tries) {
-        if (entry.cancelSent || (except && entry.slot == *except)) {
+        if (entry.cancelSent || (except && entry.handle == *except)) {
             continue;
         }
         entry.cancelSent = true;
@@ -224,42 +224,42 @@
         return;
     }
     entry->firstToken = true;
-    auto &state = table.at(entry->slot);
+    auto &state = table.at(entry->handle);
     state.load.firstToken(entry->prefillTokens);
     const auto took = now - entry->sentAt;
-    ejection.succeeded(entry->slot, delayRatio(took, entry->expected), now);
+    ejection.succeeded(entry->handle, delayRatio(took, entry->expected), now);
     if (!entry->waitsForPlace) {
         state.limit.sample(delayRatio(took, entry->expected), state.load.inFlight(now));
     }
     note(id, now, "first token from", endpoint.text(), took);
     if (!request.done) {
-        cancelTries(request, entry->slot, effects);
+        cancelTries(request, entry->handle, effects);
     }
 }
 
-void Scheduler::Parts::endpointDied(Slot slot, Time now)
+void Scheduler::Parts::endpointDied(EndpointHandle handle, Time now)
 {
     std::vector<std::uint64_t> onBoard;
-    for (const auto &id : onSlot[slot]) {
+    for (const auto &id : onSlot[handle]) {
         auto &request = requests.at(id);
         for (auto &entry : request.tries) {
-            if (entry.slot == slot && !entry.deathTold) {
+            if (entry.handle == handle && !entry.deathTold) {
                 entry.deathTold = true;
                 onBoard.push_back(request.facts.fingerprint);
             }
         }
     }
     std::erase(onBoard, 0U);
-    quarantine.endpointDied(table.at(slot).facts.id, onBoard, now);
-    prefixes.forget(slot);
+    quarantine.endpointDied(table.at(handle).facts.id, onBoard, now);
+    prefixes.forget(handle);
 }
 
 void Scheduler::Parts::releaseTry(RequestState &request, const Try &ended, Outcome outcome,
                                   Time now)
 {
-    auto &state = table.at(ended.slot);
+    auto &state = table.at(ended.handle);
     state.load.ended(!ended.firstToken, ended.prefillTokens, ended.sentAt, now);
-    onSlot[ended.slot].erase(request.facts.id);
+    onSlot[ended.handle].erase(request.facts.id);
     if (ended.countedSuspect) {
         quarantine.stopped(request.facts.fingerprint);
     }
@@ -272,7 +272,7 @@
     case Outcome::NotStarted:
     case Outcome::Failed:
     case Outcome::TimedOut:
-        ejection.failed(ended.slot, now);
+        ejection.failed(ended.handle, now);
         break;
     case Outcome::EndpointDied:
     case Outcome::Cancelled:
@@ -306,7 +306,7 @@
         return;
     }
     if (outcome == Outcome::EndpointDied && !entry->deathTold) {
-        endpointDied(entry->slot, now);
+        endpointDied(entry->handle, now);
     }
     const Try ended = *entry;
     request.tries.erase(entry);
@@ -329,7 +329,7 @@
     } else {
         request.mayHaveRun = request.mayHaveRun || outcome != Outcome::NotStarted;
     }
-    for (const auto &target : table.at(ended.slot).facts.targets) {
+    for (const auto &target : table.at(ended.handle).facts.targets) {
         drain(target.base(), now, effects);
     }
 }
@@ -359,7 +359,7 @@
     const auto base = request.facts.target.base();
     const auto fingerprint = request.facts.fingerprint;
     if (quarantine.verdict(fingerprint, now) == Verdict::Quarantined) {
-        refuse(id, RefusalReason::Quarantined, runAfter(outcome),
+        refuse(id, RejectReason::Quarantined, runAfter(outcome),
                quarantine.retryAfter(fingerprint, now), now, effects);
         return;
     }
@@ -386,7 +386,7 @@
         return;
     }
     const auto reason =
-        outcome == Outcome::TimedOut ? RefusalReason::TimedOut : RefusalReason::Failed;
+        outcome == Outcome::TimedOut ? RejectReason::TimedOut : RejectReason::Failed;
     refuse(id, reason, runAfter(outcome), FailureRetryAfter, now, effects);
 }
 
--- a/Source/Core/Decisions/SchedulerTick.cpp
+++ b/Source/Core/Decisions/SchedulerTick.cpp
@@ -39,10 +39,9 @@
         const auto base = request.facts.target.base();
         const auto &deadline = request.facts.deadline;
         if (deadline && *deadline <= now) {
-            refuse(id, RefusalReason::DeadlineTooClose, RunState::NotRun, Duration(0), now,
-                   effects);
+            refuse(id, RejectReason::DeadlineTooClose, RunState::NotRun, Duration(0), now, effects);
         } else if (table.candidates(base).empty()) {
-            refuse(id, RefusalReason::NoEndpoint, RunState::NotRun, seconds(1), now, effects);
+            refuse(id, RejectReason::NoEndpoint, RunState::NotRun, seconds(1), now, effects);
         } else if (sendsAtOnce()) {
             if (const auto placed = place(request, now)) {
                 dispatch(request, *placed, false, now, effects);
@@ -63,7 +62,7 @@
         late.insert(late.end(), expired.begin(), expired.end());
     }
     for (const auto &id : late) {
-        refuse(id, RefusalReason::DeadlineTooClose, RunState::NotRun, Duration(0), now, effects);
+        refuse(id, RejectReason::DeadlineTooClose, RunState::NotRun, Duration(0), now, effects);
     }
 }
 
@@ -109,7 +108,7 @@
         if (!may) {
             continue;
         }
-        const auto placed = place(request, now, request.tries.front().slot);
+        const auto placed = place(request, now, request.tries.front().handle);
         if (placed && budget.take()) {
             dispatch(request, *placed, true, now, effects);
         }
@@ -118,10 +117,10 @@
 
 void Scheduler::Parts::endpointsChanged(const std::vector<EndpointFacts> &endpoints, Time now)
 {
-    for (const auto slot : table.update(endpoints, now)) {
-        prefixes.forget(slot);
-        ejection.forget(slot);
-        onSlot.erase(slot);
+    for (const auto handle : table.update(endpoints, now)) {
+        prefixes.forget(handle);
+        ejection.forget(handle);
+        onSlot.erase(handle);
     }
 }
 
@@ -152,16 +151,16 @@
 nlohmann::json Scheduler::Parts::dump(Time now) const
 {
     nlohmann::json endpoints = nlohmann::json::array();
-    for (const auto slot : table.slots()) {
-        const auto &state = table.at(slot);
+    for (const auto handle : table.handles()) {
+        const auto &state = table.at(handle);
         endpoints.push_back({{"id", state.facts.id.text()},
                              {"listed", state.listed},
                              {"leaving", state.facts.leaving},
                              {"reachable", state.reachable},
                              {"in_flight", state.load.inFlight(now)},
                              {"own_in_flight", state.load.ownInFlight()},
-                             {"limit", table.limit(slot, now)},
-                             {"health", ejection.dump(slot, now)}});
+                             {"limit", table.limit(handle, now)},
+                             {"health", ejection.dump(handle, now)}});
     }
     nlohmann::json waiting = nlohmann::json::object();
     for (const auto &[target, queue] : queues) {
--- a/Source/Core/Decisions/Spill.cpp
+++ b/Source/Core/Decisions/Spill.cpp
@@ -70,7 +70,7 @@
 bool Spill::mayLeaveFor(const RequestFacts &facts, const RegionName &region) const
 {
     const auto &allowed = facts.allowedRegions;
-    return facts.arrivedFrom.empty() && region != home_
+    return facts.forwardedFrom.empty() && region != home_
            && std::find(allowed.begin(), allowed.end(), region) != allowed.end();
 }
 
--- a/Source/Core/Gateway/CallPlan.cpp
+++ b/Source/Core/Gateway/CallPlan.cpp
@@ -173,7 +173,7 @@
     }
     facts.allowedRegions = allowedRegions(
         configuration, *configuration.residencyRule(route.residency), narrower, callerHome);
-    facts.arrivedFrom = arrival.forwarded ? arrival.forwarded->fromRegion : Common::RegionName();
+    facts.forwardedFrom = arrival.forwarded ? arrival.forwarded->fromRegion : Common::RegionName();
 
     const auto priorityName =
         draft.headers.priority ? C::PriorityName(*draft.headers.priority) : route.priority;
--- a/Source/Core/Gateway/CallProblems.cpp
+++ b/Source/Core/Gateway/CallProblems.cpp
@@ -7,42 +7,42 @@
 
 namespace {
 
-unsigned statusOf(D::RefusalReason reason)
+unsigned statusOf(D::RejectReason reason)
 {
     switch (reason) {
-    case D::RefusalReason::CustomerShare:
+    case D::RejectReason::CustomerShare:
         return 429;
-    case D::RefusalReason::Residency:
+    case D::RejectReason::Residency:
         return 403;
-    case D::RefusalReason::Quarantined:
+    case D::RejectReason::Quarantined:
         return 422;
-    case D::RefusalReason::Failed:
+    case D::RejectReason::Failed:
         return 502;
-    case D::RefusalReason::TimedOut:
+    case D::RejectReason::TimedOut:
         return 504;
-    case D::RefusalReason::Overloaded:
-    case D::RefusalReason::DeadlineTooClose:
-    case D::RefusalReason::NoEndpoint:
+    case D::RejectReason::Overloaded:
+    case D::RejectReason::DeadlineTooClose:
+    case D::RejectReason::NoEndpoint:
         return 503;
     }
     return 503;
 }
 
-Common::ErrorCode codeOf(D::RefusalReason reason)
+Common::ErrorCode codeOf(D::RejectReason reason)
 {
     switch (reason) {
-    case D::RefusalReason::Residency:
+    case D::RejectReason::Residency:
         return Common::ErrorCode::ResidencyRefused;
-    case D::RefusalReason::Quarantined:
+    case D::RejectReason::Quarantined:
         return Common::ErrorCode::Conflict;
-    case D::RefusalReason::TimedOut:
+    case D::RejectReason::TimedOut:
         return Common::ErrorCode::DeadlineExceeded;
-    case D::RefusalReason::Failed:
-    case D::RefusalReason::NoEndpoint:
+    case D::RejectReason::Failed:
+    case D::RejectReason::NoEndpoint:
         return Common::ErrorCode::Unavailable;
-    case D::RefusalReason::Overloaded:
-    case D::RefusalReason::CustomerShare:
-    case D::RefusalReason::DeadlineTooClose:
+    case D::RejectReason::Overloaded:
+    case D::RejectReason::CustomerShare:
+    case D::RejectReason::DeadlineTooClose:
         return Common::ErrorCode::Overloaded;
     }
     return Common::ErrorCode::Unavailable;
@@ -98,7 +98,7 @@
     return problem;
 }
 
-Entry::Problem refusalProblem(const D::Refuse &refusal)
+Entry::Problem refusalProblem(const D::Reject &refusal)
 {
     Entry::Problem problem;
     problem.status = statusOf(refusal.reason);
--- a/Source/Core/Gateway/CallProblems.h
+++ b/Source/Core/Gateway/CallProblems.h
@@ -8,7 +8,7 @@
 namespace LaburnumChute::Gateway {
 
 /// The problem document for a refusal of the scheduler.
-Entry::Problem refusalProblem(const Decisions::Refuse &refusal);
+Entry::Problem refusalProblem(const Decisions::Reject &refusal);
 
 /// The problem document for a refusal of the ledger.
 Entry::Problem onceProblem(const Ledger::Refused &refused);
--- a/Source/Core/Gateway/CallRunner.cpp
+++ b/Source/Core/Gateway/CallRunner.cpp
@@ -117,7 +117,7 @@
     if (const auto *forward = std::get_if<D::Forward>(&effect)) {
         co_return co_await runAtRegion(*forward);
     }
-    if (const auto *refusal = std::get_if<D::Refuse>(&effect)) {
+    if (const auto *refusal = std::get_if<D::Reject>(&effect)) {
         co_await releaseKey();
         co_await refuse(*refusal);
         co_return Step::Ended;
@@ -196,7 +196,7 @@
     co_await responder_.problem(std::move(problem));
 }
 
-asio::awaitable<void> CallRunner::refuse(const D::Refuse &refusal)
+asio::awaitable<void> CallRunner::refuse(const D::Reject &refusal)
 {
     context_.metrics.refused.add();
     co_await answerProblem(refusalProblem(refusal));
--- a/Source/Core/Gateway/CallRunner.h
+++ b/Source/Core/Gateway/CallRunner.h
@@ -96,7 +96,7 @@
                                                                   Peers::OnceRole once);
     Peers::ForwardedRequest makeForwarded(Peers::OnceRole once) const;
 
-    asio::awaitable<void> refuse(const Decisions::Refuse &refusal);
+    asio::awaitable<void> refuse(const Decisions::Reject &refusal);
     asio::awaitable<void> answerProblem(Entry::Problem problem);
     asio::awaitable<void> offerKey(std::string detail);
 
--- a/Source/Core/Gateway/Dispatcher.cpp
+++ b/Source/Core/Gateway/Dispatcher.cpp
@@ -200,7 +200,7 @@
 {
     dispatched_.add(std::holds_alternative<D::Dispatch>(effect) ? 1 : 0);
     forwarded_.add(std::holds_alternative<D::Forward>(effect) ? 1 : 0);
-    refused_.add(std::holds_alternative<D::Refuse>(effect) ? 1 : 0);
+    refused_.add(std::holds_alternative<D::Reject>(effect) ? 1 : 0);
     dropped_.add(std::holds_alternative<D::Drop>(effect) ? 1 : 0);
 }
 
--- a/Source/Experiments/DecisionBenchmark.cpp
+++ b/Source/Experiments/DecisionBenchmark.cpp
@@ -75,17 +75,18 @@
     Router router(all.routing, 1);
     const Time now = Time() + seconds(1000);
     table.update(endpoints(state.range(0)), now);
-    for (const auto slot : table.slots()) {
-        table.at(slot).load.report(halfFull(), now);
-        table.at(slot).limit.setStatedLimit(halfFull().batchLimit);
+    for (const auto handle : table.handles()) {
+        table.at(handle).load.report(halfFull(), now);
+        table.at(handle).limit.setBatchLimit(halfFull().batchLimit);
     }
     std::vector<RequestFacts> requests;
     for (std::uint64_t serial = 0; serial < 512; ++serial) {
         requests.push_back(request(serial));
-        prefixes.stored(static_cast<Slot>(serial) % static_cast<Slot>(state.range(0)),
+        prefixes.stored(static_cast<EndpointHandle>(serial)
+                            % static_cast<EndpointHandle>(state.range(0)),
                         requests.back().prefixBlocks);
     }
-    const auto allowed = [](Slot) { return true; };
+    const auto allowed = [](EndpointHandle) { return true; };
     std::size_t turn = 0;
     for (auto _ : state) {
         benchmark::DoNotOptimize(router.choose(requests[turn++ % requests.size()], table, prefixes,
--- a/Source/Experiments/PlacementComparison.cpp
+++ b/Source/Experiments/PlacementComparison.cpp
@@ -104,10 +104,10 @@
 {
     const auto demand = demandTrace(seed);
     const std::vector<std::pair<std::string, PlacementPolicy>> policies{
-        {"plain target 0.80", PlainTargetPlacement{0.80}},
-        {"plain target 0.75", PlainTargetPlacement{0.75}},
-        {"plain target 0.70", PlainTargetPlacement{0.70}},
-        {"plain target 0.60", PlainTargetPlacement{0.60}},
+        {"plain target 0.80", UtilisationPlacement{0.80}},
+        {"plain target 0.75", UtilisationPlacement{0.75}},
+        {"plain target 0.70", UtilisationPlacement{0.70}},
+        {"plain target 0.60", UtilisationPlacement{0.60}},
         {"mean + 1 deviation", VariancePlacement{1}},
         {"mean + 2 deviations", VariancePlacement{2}},
         {"mean + 3 deviations", VariancePlacement{3}},
--- a/Source/Experiments/Simulation.cpp
+++ b/Source/Experiments/Simulation.cpp
@@ -126,7 +126,7 @@
 void Simulation::submitAt(Gateway &gateway, std::size_t index, int attempt, const std::string &from)
 {
     auto request = facts(index, attempt, now_);
-    request.arrivedFrom = RegionName(from);
+    request.forwardedFrom = RegionName(from);
     if (from.empty()) {
         const auto &supersedes = trace_.calls[index].supersedes;
         callers_[index].gateway = &gateway;
@@ -191,7 +191,7 @@
     after(RegionLinkSeconds, [this, &target, index, from] { submitAt(target, index, 0, from); });
 }
 
-void Simulation::perform(Gateway &gateway, const Refuse &effect)
+void Simulation::perform(Gateway &gateway, const Reject &effect)
 {
     const auto index = callOf(effect.request);
     const auto origin = gateway.origin.find(index);
--- a/Source/Experiments/Simulation.h
+++ b/Source/Experiments/Simulation.h
@@ -90,7 +90,7 @@
     void apply(Gateway &gateway, const Decisions::Effects &effects);
     void perform(Gateway &gateway, const Decisions::Dispatch &effect);
     void perform(Gateway &gateway, const Decisions::Forward &effect);
-    void perform(Gateway &gateway, const Decisions::Refuse &effect);
+    void perform(Gateway &gateway, const Decisions::Reject &effect);
     void perform(Gateway &gateway, const Decisions::Drop &effect);
     void perform(Gateway &gateway, const Decisions::CancelOnEndpoint &effect);
     void startStep(Engine &engine);
--- a/Source/UnitTests/Decisions/FailureTest.cpp
+++ b/Source/UnitTests/Decisions/FailureTest.cpp
@@ -34,7 +34,7 @@
         World world;
         world.addEngines(3);
         world.submit(request("truck"));
-        const auto refusals = all<Refuse>(world.finish("truck", outcome));
+        const auto refusals = all<Reject>(world.finish("truck", outcome));
         ASSERT_EQ(refusals.size(), 1U);
         EXPECT_EQ(refusals.front().run, RunState::Unknown);
         world.tickAfter(seconds(10));
@@ -50,10 +50,10 @@
     world.addEngines(3);
     world.submit(repeatable("r1"));
     world.finish("r1", Outcome::Failed);
-    std::vector<Refuse> refusals;
+    std::vector<Reject> refusals;
     for (int round = 0; round < 5 && refusals.empty(); ++round) {
         world.tickAfter(seconds(2));
-        refusals = all<Refuse>(world.finish("r1", Outcome::NotStarted));
+        refusals = all<Reject>(world.finish("r1", Outcome::NotStarted));
     }
     ASSERT_EQ(refusals.size(), 1U);
     EXPECT_EQ(refusals.front().run, RunState::Unknown);
@@ -108,7 +108,7 @@
     }
     const auto before = world.order.size();
     world.submit(repeatable("last"));
-    EXPECT_TRUE(has<Refuse>(world.finish("last", Outcome::Failed)));
+    EXPECT_TRUE(has<Reject>(world.finish("last", Outcome::Failed)));
     world.tickAfter(seconds(5));
     EXPECT_EQ(world.order.size(), before + 1);
 }
@@ -127,7 +127,7 @@
         const auto id = "r" + std::to_string(index);
         world.submit(request(id));
         for (int round = 0; round < 3 && world.endpointOf(id) != "e2"; ++round) {
-            EXPECT_FALSE(has<Refuse>(world.finish(id, Outcome::NotStarted))) << id;
+            EXPECT_FALSE(has<Reject>(world.finish(id, Outcome::NotStarted))) << id;
             world.tickAfter(milliseconds(20));
         }
         ASSERT_EQ(world.endpointOf(id), "e2");
@@ -141,9 +141,9 @@
     World world;
     world.addEngines(2);
     world.submit(request("r1"));
-    std::vector<Refuse> refusals;
+    std::vector<Reject> refusals;
     for (int round = 0; round < 10 && refusals.empty(); ++round) {
-        refusals = all<Refuse>(world.finish("r1", Outcome::NotStarted));
+        refusals = all<Reject>(world.finish("r1", Outcome::NotStarted));
         world.tickAfter(seconds(3));
     }
     ASSERT_EQ(refusals.size(), 1U);
@@ -248,18 +248,18 @@
 
 TEST(EjectionTest, AtMostTheStatedShareIsOutAndAFaultOfMostEjectsNone)
 {
-    const std::vector<Slot> group{0, 1, 2, 3};
+    const std::vector<EndpointHandle> group{0, 1, 2, 3};
     const Time now = Time() + seconds(100);
-    const auto excludedAfter = [&](Slot failing) {
+    const auto excludedAfter = [&](EndpointHandle failing) {
         Ejection ejection({});
-        for (Slot slot = 0; slot < failing; ++slot) {
+        for (EndpointHandle handle = 0; handle < failing; ++handle) {
             for (int index = 0; index < 10; ++index) {
-                ejection.failed(slot, now);
+                ejection.failed(handle, now);
             }
         }
         ejection.review(group, now);
         return std::count_if(group.begin(), group.end(),
-                             [&](Slot slot) { return ejection.excluded(slot, now); });
+                             [&](EndpointHandle handle) { return ejection.excluded(handle, now); });
     };
     EXPECT_EQ(excludedAfter(1), 1);
     EXPECT_EQ(excludedAfter(3), 0);
@@ -318,9 +318,9 @@
         world.tickAfter(seconds(1));
     }
     EXPECT_EQ(died.size(), 2U);
-    const auto refusals = all<Refuse>(world.submit(poison("again")));
+    const auto refusals = all<Reject>(world.submit(poison("again")));
     ASSERT_EQ(refusals.size(), 1U);
-    EXPECT_EQ(refusals.front().reason, RefusalReason::Quarantined);
+    EXPECT_EQ(refusals.front().reason, RejectReason::Quarantined);
     EXPECT_GT(refusals.front().retryAfter, seconds(60));
 }
 
@@ -345,11 +345,11 @@
             }
         }
     }
-    EXPECT_TRUE(has<Refuse>(world.submit(poison("again"))));
+    EXPECT_TRUE(has<Reject>(world.submit(poison("again"))));
     for (std::uint64_t index = 0; index < 12; ++index) {
         auto facts = request("later" + std::to_string(index));
         facts.fingerprint = 1 + index;
-        EXPECT_FALSE(has<Refuse>(world.submit(facts))) << index;
+        EXPECT_FALSE(has<Reject>(world.submit(facts))) << index;
     }
 }
 
@@ -364,7 +364,7 @@
         world.die("e0");
         world.tickAfter(seconds(1));
     }
-    EXPECT_FALSE(has<Refuse>(world.submit(poison("again"))));
+    EXPECT_FALSE(has<Reject>(world.submit(poison("again"))));
 }
 
 TEST(QuarantineTest, TheDeathOfEndpointsDoesNotEjectThem)
@@ -393,7 +393,7 @@
         world.die(world.endpointOf("p" + std::to_string(index)));
         world.tickAfter(seconds(1));
     }
-    EXPECT_TRUE(has<Refuse>(world.submit(poison("early"))));
+    EXPECT_TRUE(has<Reject>(world.submit(poison("early"))));
     world.tickAfter(QuarantineOptions().firstQuarantine);
     EXPECT_TRUE(has<Dispatch>(world.submit(poison("trial"))));
     EXPECT_FALSE(has<Dispatch>(world.submit(poison("beside")))) << "one trial at a time";
@@ -414,7 +414,7 @@
     World second;
     second.addEngines(6);
     second.scheduler.mergeSuspects(first.scheduler.suspectNotices(first.now), second.now);
-    EXPECT_TRUE(has<Refuse>(second.submit(poison("again"))));
+    EXPECT_TRUE(has<Reject>(second.submit(poison("again"))));
 }
 
 // A request that nobody suspects is beside one that has killed an engine before.
@@ -452,14 +452,14 @@
     facts.allowedRegions = {Sapporo, Asahikawa};
     world.submit(facts);
     Effects effects;
-    for (int tries = 0; tries < 10 && !has<Forward>(effects) && !has<Refuse>(effects); ++tries) {
+    for (int tries = 0; tries < 10 && !has<Forward>(effects) && !has<Reject>(effects); ++tries) {
         effects = world.finish("r1", Outcome::NotStarted);
         if (effects.empty()) {
             effects = world.tickAfter(milliseconds(200));
         }
     }
     EXPECT_TRUE(has<Forward>(effects));
-    EXPECT_FALSE(has<Refuse>(effects));
+    EXPECT_FALSE(has<Reject>(effects));
 }
 
 } // namespace
--- a/Source/UnitTests/Decisions/OverloadTest.cpp
+++ b/Source/UnitTests/Decisions/OverloadTest.cpp
@@ -107,14 +107,14 @@
     int refused = 0;
     for (int index = 0; index < 400; ++index) {
         const auto effects = world.submit(request("hot" + std::to_string(index), "office"));
-        for (const auto &refusal : all<Refuse>(effects)) {
+        for (const auto &refusal : all<Reject>(effects)) {
             ++refused;
             EXPECT_EQ(refusal.run, RunState::NotRun);
             EXPECT_GT(refusal.retryAfter, Duration(0));
         }
     }
     EXPECT_GT(refused, 0);
-    EXPECT_FALSE(has<Refuse>(world.submit(request("first", "school"))));
+    EXPECT_FALSE(has<Reject>(world.submit(request("first", "school"))));
 }
 
 // A depot has histories waiting for half an hour of work. Its call-takers' lines are another
@@ -131,7 +131,7 @@
     }
     for (int index = 0; index < 8; ++index) {
         const auto id = "line" + std::to_string(index);
-        EXPECT_FALSE(has<Refuse>(world.submit(request(id, "depot")))) << index;
+        EXPECT_FALSE(has<Reject>(world.submit(request(id, "depot")))) << index;
         world.submit(request("other" + std::to_string(index), "other"));
     }
 }
@@ -145,7 +145,7 @@
     for (int index = 0; index < 300 && !retryAfter; ++index) {
         const auto customer = "school" + std::to_string(index);
         const auto refusals =
-            all<Refuse>(world.submit(request("r" + std::to_string(index), customer)));
+            all<Reject>(world.submit(request("r" + std::to_string(index), customer)));
         if (!refusals.empty()) {
             retryAfter = refusals.front().retryAfter;
         }
@@ -156,7 +156,7 @@
     while (world.now < back) {
         serveOne(world);
     }
-    EXPECT_FALSE(has<Refuse>(world.submit(request("again", "school0"))));
+    EXPECT_FALSE(has<Reject>(world.submit(request("again", "school0"))));
 }
 
 // Half of the engines are lost under load. A limit on the number of waiting requests that was right
@@ -168,7 +168,7 @@
         world.addEngines(engineCount);
         int count = 0;
         while (count < 5000
-               && !has<Refuse>(world.submit(
+               && !has<Reject>(world.submit(
                    request("r" + std::to_string(count), "c" + std::to_string(count))))) {
             ++count;
         }
@@ -188,9 +188,9 @@
     }
     auto facts = request("hasty", "school");
     facts.deadline = world.now + milliseconds(100);
-    const auto refusals = all<Refuse>(world.submit(facts));
+    const auto refusals = all<Reject>(world.submit(facts));
     ASSERT_EQ(refusals.size(), 1U);
-    EXPECT_EQ(refusals.front().reason, RefusalReason::DeadlineTooClose);
+    EXPECT_EQ(refusals.front().reason, RejectReason::DeadlineTooClose);
 }
 
 RC_GTEST_PROP(OverloadProperty, NobodyStarvesPastTheStatedBound, ())
--- a/Source/UnitTests/Decisions/RoutingTest.cpp
+++ b/Source/UnitTests/Decisions/RoutingTest.cpp
@@ -164,7 +164,7 @@
 TEST(ConcurrencyLimitTest, FollowsLastingDelayDownAndRecovers)
 {
     ConcurrencyLimit limit({});
-    limit.setStatedLimit(16);
+    limit.setBatchLimit(16);
     const double full = limit.value();
     for (int index = 0; index < 100; ++index) {
         limit.sample(index % 2 == 0 ? 1.0 : 1.5, 16);
@@ -186,7 +186,7 @@
 TEST(ConcurrencyLimitTest, AnswersThatAreFasterThanExpectedDoNotLowerIt)
 {
     ConcurrencyLimit limit({});
-    limit.setStatedLimit(16);
+    limit.setBatchLimit(16);
     const double full = limit.value();
     limit.sample(0.1, 16);
     for (int index = 0; index < 100; ++index) {
@@ -199,18 +199,18 @@
 {
     const RoutingOptions routing;
     const ConcurrencyOptions concurrency;
-    std::map<Slot, int> users;
+    std::map<EndpointHandle, int> users;
     for (int instance = 0; instance < 94; ++instance) {
         EndpointTable table(routing, concurrency, InstanceId("i" + std::to_string(instance)),
                             Sapporo);
         table.update(engines(323), Time());
         ASSERT_EQ(table.candidates(Inscription).size(), routing.subsetSize);
-        for (const auto slot : table.candidates(Inscription)) {
-            ++users[slot];
+        for (const auto handle : table.candidates(Inscription)) {
+            ++users[handle];
         }
     }
     ASSERT_EQ(users.size(), 323U);
-    for (const auto &[slot, count] : users) {
+    for (const auto &[handle, count] : users) {
         EXPECT_GE(count, 5);
         EXPECT_LE(count, 40);
     }
--- a/Source/UnitTests/Decisions/SchedulerTest.cpp
+++ b/Source/UnitTests/Decisions/SchedulerTest.cpp
@@ -22,8 +22,8 @@
     World world;
     const auto effects = world.submit(request("r1"));
     ASSERT_EQ(effects.size(), 1U);
-    const auto &refusal = std::get<Refuse>(effects.front());
-    EXPECT_EQ(refusal.reason, RefusalReason::NoEndpoint);
+    const auto &refusal = std::get<Reject>(effects.front());
+    EXPECT_EQ(refusal.reason, RejectReason::NoEndpoint);
     EXPECT_EQ(refusal.run, RunState::NotRun);
 }
 
@@ -86,7 +86,7 @@
     auto facts = request("late");
     facts.deadline = world.now + milliseconds(200);
     world.submit(facts);
-    const auto refusals = all<Refuse>(world.tickAfter(milliseconds(200)));
+    const auto refusals = all<Reject>(world.tickAfter(milliseconds(200)));
     ASSERT_EQ(refusals.size(), 1U);
     EXPECT_EQ(refusals.front().request, RequestId("late"));
     EXPECT_EQ(refusals.front().run, RunState::NotRun);
--- a/Source/UnitTests/Decisions/SpillTest.cpp
+++ b/Source/UnitTests/Decisions/SpillTest.cpp
@@ -69,7 +69,7 @@
 {
     World world;
     world.scheduler.updateRegions({summary(Asahikawa)}, world.now);
-    const auto refusals = all<Refuse>(world.submit(request("r1")));
+    const auto refusals = all<Reject>(world.submit(request("r1")));
     ASSERT_EQ(refusals.size(), 1U);
     EXPECT_EQ(refusals.front().run, RunState::NotRun);
     EXPECT_TRUE(has<Forward>(world.submit(anywhere("r2"))));
@@ -93,10 +93,10 @@
             world.scheduler.updateRegions({full}, world.now);
         }
     }
-    const auto refusals = all<Refuse>(
+    const auto refusals = all<Reject>(
         world.scheduler.finished(RequestId("r1"), EndpointId(), Outcome::NotStarted, world.now));
     ASSERT_EQ(refusals.size(), 1U);
-    EXPECT_EQ(refusals.front().reason, RefusalReason::Overloaded);
+    EXPECT_EQ(refusals.front().reason, RejectReason::Overloaded);
     EXPECT_GT(refusals.front().retryAfter, Duration(0));
 }
 
@@ -106,10 +106,10 @@
     World world;
     world.scheduler.updateRegions({summary(Asahikawa), summary(Hakodate)}, world.now);
     auto facts = anywhere("r1");
-    facts.arrivedFrom = Asahikawa;
+    facts.forwardedFrom = Asahikawa;
     const auto effects = world.submit(facts);
     EXPECT_FALSE(has<Forward>(effects));
-    EXPECT_TRUE(has<Refuse>(effects));
+    EXPECT_TRUE(has<Reject>(effects));
 }
 
 // The other region turned the request away after all. It is run at home and goes nowhere else.
@@ -166,7 +166,7 @@
     auto stale = summary(Hakodate);
     stale.age = seconds(6);
     world.scheduler.updateRegions({lost, stale}, world.now);
-    EXPECT_TRUE(has<Refuse>(world.submit(anywhere("r1"))));
+    EXPECT_TRUE(has<Reject>(world.submit(anywhere("r1"))));
 }
 
 /// One random step against a scheduler whose requests carry random residency rules.
@@ -198,7 +198,7 @@
             const auto &request = facts.at(sent.request.text());
             const auto &allowed = request.allowedRegions;
             RC_ASSERT(std::find(allowed.begin(), allowed.end(), sent.region) != allowed.end());
-            RC_ASSERT(request.arrivedFrom.empty());
+            RC_ASSERT(request.forwardedFrom.empty());
             RC_ASSERT(++forwards[sent.request.text()] == 1);
             forwarded.insert(sent.request.text());
         }
@@ -213,7 +213,7 @@
                 request.allowedRegions.push_back(region);
             }
         }
-        request.arrivedFrom = *rc::gen::element(RegionName(), Hakodate);
+        request.forwardedFrom = *rc::gen::element(RegionName(), Hakodate);
         request.repeatable = *rc::gen::arbitrary<bool>();
         facts[request.id.text()] = request;
         check(world.submit(request));
