--- a/Source/UnitTests/Decisions/OverloadTest.cpp
+++ b/Source/UnitTests/Decisions/OverloadTest.cpp
@@ -10,190 +10,192 @@
 
 namespace {
 
-/// One engine whose batch of 8 and one waiting place are taken by "b0" to "b8".
-World fullWorld(const SchedulerOptions &options = tightOptions())
+/// One engine whose batch of 8 and one queue position are taken by "b0" to "b8".
+Harness harnessWithFullEndpoint(const SchedulerOptions &options = lowSlackOptions())
 {
-    World world(options);
-    world.addEngines(1);
+    Harness harness(options);
+    harness.addEngines(1);
     for (int index = 0; index < 9; ++index) {
-        world.submit(request("b" + std::to_string(index), "before"));
+        harness.submit(request("b" + std::to_string(index), "before"));
     }
-    return world;
+    return harness;
 }
 
-/// Ends one request of the full engine; the one that is sent in its place.
-std::string serveOne(World &world)
+/// Ends one request of the full engine and returns the one that is dispatched in its slot.
+std::string serveOne(Harness &harness)
 {
-    world.now += milliseconds(50);
-    const auto sent = all<Dispatch>(world.finish(*world.on["e0"].begin()));
+    harness.now += milliseconds(50);
+    const auto sent = all<Dispatch>(harness.finish(*harness.running["e0"].begin()));
     return sent.empty() ? "" : sent.front().request.text();
 }
 
-// Call histories wait for a place as a call-taker's line comes in. In the order of arrival the
-// line would wait for all of them.
-TEST(OverloadTest, AShortLineIsServedBeforeHistoriesThatCameEarlier)
+// Long prompts are queued when a short one arrives. In FIFO order the short one would wait for all
+// of them.
+TEST(OverloadTest, AShortPromptIsServedBeforeEarlierLongPrompts)
 {
-    auto world = fullWorld();
+    auto harness = harnessWithFullEndpoint();
     for (int index = 0; index < 2; ++index) {
         auto history = request("history" + std::to_string(index), "dispatch");
         history.promptTokens = 10000;
-        world.submit(history);
+        harness.submit(history);
     }
-    world.now += milliseconds(100);
-    world.submit(request("line"));
-    EXPECT_EQ(serveOne(world), "line");
-    EXPECT_EQ(serveOne(world), "history0");
+    harness.now += milliseconds(100);
+    harness.submit(request("line"));
+    EXPECT_EQ(serveOne(harness), "line");
+    EXPECT_EQ(serveOne(harness), "history0");
 }
 
-// Prompt lines keep coming for as long as the engine can serve them. By priority alone a history of
-// lower priority would never be condensed.
-TEST(OverloadTest, LowerPriorityIsServedWithinTheBoundOfTurns)
+// High-priority requests arrive as fast as the engine can serve them. By priority alone a request
+// of lower priority would never be served.
+TEST(OverloadTest, LowerPriorityIsServedWithinTheStatedBound)
 {
-    auto world = fullWorld();
+    auto harness = harnessWithFullEndpoint();
     auto history = request("history");
     history.priority = 1;
-    world.submit(history);
+    harness.submit(history);
     int turns = 0;
     std::string served;
     while (served != "history" && turns < 50) {
-        world.submit(request("line" + std::to_string(turns)));
-        served = serveOne(world);
+        harness.submit(request("line" + std::to_string(turns)));
+        served = serveOne(harness);
         ++turns;
     }
     EXPECT_LE(turns, QueueOptions().lowerPriorityRatio + 1);
-    EXPECT_GT(turns, 1) << "but the lines come first";
+    EXPECT_GT(turns, 1) << "but higher priorities go first";
 }
 
-// Histories of fifty times a line's work wait beside lines. Given every tenth turn they would take
-// most of the engines, and the call-takers' lines would wait although they alone fit easily.
-TEST(OverloadTest, LowerPriorityGetsAShareOfTheWorkAndNotOfTheTurns)
+// Low-priority requests of fifty times the work are queued next to short ones. If they got every
+// tenth turn they would use most of the engines, and the short requests would wait although the
+// engines could easily serve all of those.
+TEST(OverloadTest, LowerPriorityGetsAFractionOfTheWorkAndNotOfTheTurns)
 {
-    auto world = fullWorld();
+    auto harness = harnessWithFullEndpoint();
     for (int index = 0; index < 3; ++index) {
         auto history = request("history" + std::to_string(index), "dispatch");
         history.priority = 1;
         history.patience = Patience::Long;
         history.expectedOutputTokens = 5000;
-        world.submit(history);
+        harness.submit(history);
     }
     int histories = 0;
     for (int turn = 0; turn < 100; ++turn) {
-        world.submit(request("line" + std::to_string(turn), "c" + std::to_string(turn)));
-        histories += serveOne(world).find("history") == 0 ? 1 : 0;
+        harness.submit(request("line" + std::to_string(turn), "c" + std::to_string(turn)));
+        histories += serveOne(harness).find("history") == 0 ? 1 : 0;
     }
     EXPECT_LE(histories, 1);
 }
 
-// One office resends all afternoon and has forty requests waiting; a school sends its first.
+// One customer has forty requests queued when another customer sends its first.
 TEST(OverloadTest, AHotCustomerDoesNotDelayTheOthers)
 {
-    auto options = tightOptions();
+    auto options = lowSlackOptions();
     options.admission.enabled = false;
-    auto world = fullWorld(options);
+    auto harness = harnessWithFullEndpoint(options);
     for (int index = 0; index < 40; ++index) {
-        world.submit(request("hot" + std::to_string(index), "office"));
-        world.now += milliseconds(1);
+        harness.submit(request("hot" + std::to_string(index), "office"));
+        harness.now += milliseconds(1);
     }
-    serveOne(world);
-    serveOne(world);
-    world.submit(request("first", "school"));
-    EXPECT_EQ(serveOne(world), "first");
+    serveOne(harness);
+    serveOne(harness);
+    harness.submit(request("first", "school"));
+    EXPECT_EQ(serveOne(harness), "first");
 }
 
-// The same office fills the queue. It may hold its part of what can wait; the school is let in.
-TEST(OverloadTest, UnderContentionACustomerIsLetInUpToItsShare)
+// One customer fills the queue. It may fill its fair share of the admissible backlog; another
+// customer's request is still admitted.
+TEST(OverloadTest, UnderContentionACustomerIsAdmittedUpToItsFairShare)
 {
-    auto world = fullWorld();
-    int refused = 0;
+    auto harness = harnessWithFullEndpoint();
+    int rejected = 0;
     for (int index = 0; index < 400; ++index) {
-        const auto effects = world.submit(request("hot" + std::to_string(index), "office"));
-        for (const auto &refusal : all<Reject>(effects)) {
-            ++refused;
-            EXPECT_EQ(refusal.run, RunState::NotRun);
-            EXPECT_GT(refusal.retryAfter, Duration(0));
+        const auto effects = harness.submit(request("hot" + std::to_string(index), "office"));
+        for (const auto &rejection : all<Reject>(effects)) {
+            ++rejected;
+            EXPECT_EQ(rejection.run, RunState::NotRun);
+            EXPECT_GT(rejection.retryAfter, Duration(0));
         }
     }
-    EXPECT_GT(refused, 0);
-    EXPECT_FALSE(has<Reject>(world.submit(request("first", "school"))));
+    EXPECT_GT(rejected, 0);
+    EXPECT_FALSE(has<Reject>(harness.submit(request("first", "school"))));
 }
 
-// A depot has histories waiting for half an hour of work. Its call-takers' lines are another
-// matter.
-TEST(OverloadTest, ACustomersHistoriesDoNotShutOutItsLines)
+// A customer has half an hour of low-priority work queued. This must not cause the rejection of its
+// short, high-priority requests.
+TEST(OverloadTest, ACustomersLongRequestsDoNotBlockItsShortOnes)
 {
-    auto world = fullWorld();
+    auto harness = harnessWithFullEndpoint();
     for (int index = 0; index < 4; ++index) {
         auto history = request("history" + std::to_string(index), "depot");
         history.priority = 1;
         history.patience = Patience::Long;
         history.expectedOutputTokens = 2000;
-        world.submit(history);
+        harness.submit(history);
     }
     for (int index = 0; index < 8; ++index) {
         const auto id = "line" + std::to_string(index);
-        EXPECT_FALSE(has<Reject>(world.submit(request(id, "depot")))) << index;
-        world.submit(request("other" + std::to_string(index), "other"));
+        EXPECT_FALSE(has<Reject>(harness.submit(request(id, "depot")))) << index;
+        harness.submit(request("other" + std::to_string(index), "other"));
     }
 }
 
-// A burst of ten times what can be begun in time. A caller who is told at once may go elsewhere;
-// one who is kept until its deadline has lost that time.
-TEST(OverloadTest, ABurstIsRefusedAtOnceAndMayReturnAfterTheTimeNamed)
+// A burst of ten times the work that can be started in time. A caller that is rejected immediately
+// can go elsewhere; one that is queued until its deadline has lost that time.
+TEST(OverloadTest, ABurstIsRejectedAtOnceAndAdmittedAfterRetryAfter)
 {
-    auto world = fullWorld();
+    auto harness = harnessWithFullEndpoint();
     std::optional<Duration> retryAfter;
     for (int index = 0; index < 300 && !retryAfter; ++index) {
         const auto customer = "school" + std::to_string(index);
-        const auto refusals =
-            all<Reject>(world.submit(request("r" + std::to_string(index), customer)));
-        if (!refusals.empty()) {
-            retryAfter = refusals.front().retryAfter;
+        const auto rejections =
+            all<Reject>(harness.submit(request("r" + std::to_string(index), customer)));
+        if (!rejections.empty()) {
+            retryAfter = rejections.front().retryAfter;
         }
     }
     ASSERT_TRUE(retryAfter);
     EXPECT_LE(*retryAfter, seconds(10));
-    const auto back = world.now + *retryAfter;
-    while (world.now < back) {
-        serveOne(world);
+    const auto back = harness.now + *retryAfter;
+    while (harness.now < back) {
+        serveOne(harness);
     }
-    EXPECT_FALSE(has<Reject>(world.submit(request("again", "school0"))));
+    EXPECT_FALSE(has<Reject>(harness.submit(request("again", "school0"))));
 }
 
-// Half of the engines are lost under load. A limit on the number of waiting requests that was right
-// before lets callers in who will wait twice as long as they stay.
-TEST(OverloadTest, WhatMayWaitFollowsTheCapacityThatIsLeft)
+// Half of the engines are lost under load. A fixed limit on the number of queued requests that was
+// right before would admit callers who then wait twice as long as they stay.
+TEST(OverloadTest, TheQueueLimitFollowsTheRemainingCapacity)
 {
-    const auto letIn = [](int engineCount) {
-        World world(tightOptions());
-        world.addEngines(engineCount);
+    const auto admitted = [](int engineCount) {
+        Harness harness(lowSlackOptions());
+        harness.addEngines(engineCount);
         int count = 0;
         while (count < 5000
-               && !has<Reject>(world.submit(
+               && !has<Reject>(harness.submit(
                    request("r" + std::to_string(count), "c" + std::to_string(count))))) {
             ++count;
         }
         return count - 9 * engineCount;
     };
-    const int withOne = letIn(1);
-    const int withFour = letIn(4);
+    const int withOne = admitted(1);
+    const int withFour = admitted(4);
     EXPECT_GT(withOne, 0);
     EXPECT_NEAR(withFour, 4 * withOne, 0.1 * withFour);
 }
 
-TEST(OverloadTest, ADeadlineThatCannotBeMetIsRefusedAtOnce)
+TEST(OverloadTest, ADeadlineThatCannotBeMetIsRejectedAtOnce)
 {
-    auto world = fullWorld();
+    auto harness = harnessWithFullEndpoint();
     for (int index = 0; index < 60; ++index) {
-        world.submit(request("r" + std::to_string(index), "c" + std::to_string(index)));
+        harness.submit(request("r" + std::to_string(index), "c" + std::to_string(index)));
     }
     auto facts = request("hasty", "school");
-    facts.deadline = world.now + milliseconds(100);
-    const auto refusals = all<Reject>(world.submit(facts));
-    ASSERT_EQ(refusals.size(), 1U);
-    EXPECT_EQ(refusals.front().reason, RejectReason::DeadlineTooClose);
+    facts.deadline = harness.now + milliseconds(100);
+    const auto rejections = all<Reject>(harness.submit(facts));
+    ASSERT_EQ(rejections.size(), 1U);
+    EXPECT_EQ(rejections.front().reason, RejectReason::DeadlineTooClose);
 }
 
-RC_GTEST_PROP(OverloadProperty, NobodyStarvesPastTheStatedBound, ())
+RC_GTEST_PROP(OverloadProperty, NoRequestStarvesBeyondTheStatedBound, ())
 {
     const auto count = *rc::gen::inRange(1, 40);
     const QueueOptions options;
@@ -202,7 +204,7 @@
     std::map<std::string, int> allowed;
     int serial = 0;
     const auto push = [&] {
-        Waiting waiting;
+        QueuedRequest waiting;
         waiting.id = RequestId(std::to_string(serial++));
         waiting.customer = CustomerName(std::to_string(*rc::gen::inRange(0, 5)));
         waiting.priority = *rc::gen::inRange(0, 2);
@@ -210,17 +212,19 @@
         waiting.workTokens = 1;
         waiting.firstTokenWork = milliseconds(*rc::gen::inRange(0, 3000));
         queue.push(waiting);
-        // At worst all that wait are older and of the same, lowest priority.
+        // In the worst case all queued requests are older and of the same, lowest priority.
         allowed[waiting.id.text()] =
             static_cast<int>(options.lowerPriorityRatio + 1) * (static_cast<int>(queue.size()) + 1);
     };
     for (int index = 0; index < count; ++index) {
         push();
     }
-    const auto noShares = [](const CustomerName &customer) { return customer.text() == "0"; };
+    const auto exceedsFairShare = [](const CustomerName &customer) {
+        return customer.text() == "0";
+    };
     for (int turn = 0; turn < 300; ++turn) {
-        const auto served = queue.next(now, noShares).front();
-        queue.turnTaken(served);
+        const auto served = queue.next(now, exceedsFairShare).front();
+        queue.recordServed(served);
         queue.remove(served);
         allowed.erase(served.text());
         for (auto &[id, turns] : allowed) {
--- a/Source/UnitTests/Decisions/PlacementTest.cpp
+++ b/Source/UnitTests/Decisions/PlacementTest.cpp
@@ -23,9 +23,9 @@
     EXPECT_DOUBLE_EQ(demand.front().deviation, 100);
 }
 
-// Demand falls for a minute in the middle of the day. Unloading at once would have the weight store
-// load the model again a minute later, and callers would wait for it.
-TEST(PlacementTest, RunnersAreGivenUpOnlyAfterDemandStayedLow)
+// Demand falls for a minute during the day. If the model were unloaded at once, the weight store
+// would have to load it again a minute later while callers wait.
+TEST(PlacementTest, ReplicasAreReducedOnlyAfterDemandStayedLow)
 {
     Placement placement({});
     Time now = Time() + seconds(100);
@@ -37,7 +37,7 @@
     EXPECT_EQ(placement.desired({Inscription, 700, 0}, 1000, 10, now), 1);
 }
 
-TEST(PlacementTest, AnUnknownRateChangesNothing)
+TEST(PlacementTest, AnUnknownRateKeepsTheReplicaCount)
 {
     Placement placement({});
     EXPECT_EQ(placement.desired({Inscription, 7000, 0}, 0, 4, Time()), 4);
--- a/Source/UnitTests/Decisions/RoutingTest.cpp
+++ b/Source/UnitTests/Decisions/RoutingTest.cpp
@@ -19,54 +19,54 @@
     return result;
 }
 
-// A dispatcher asks for a call history of 12,000 tokens to be condensed; a call-taker's prompt line
-// comes right after. Counting requests both endpoints look equal once each has one, and the
-// call-taker waits for seconds behind the history.
-TEST(RoutingTest, AShortLineDoesNotGoBehindALongHistory)
+// A prompt of 12,000 tokens is followed by short ones. By the number of requests both endpoints
+// look equal once each has one, and a short prompt waits for seconds behind the long one.
+TEST(RoutingTest, AShortPromptIsNotQueuedBehindALongOne)
 {
-    World world;
-    world.addEngines(2);
+    Harness harness;
+    harness.addEngines(2);
     auto history = request("history");
     history.promptTokens = 12000;
-    world.submit(history);
+    harness.submit(history);
     for (int index = 0; index < 4; ++index) {
-        world.submit(request("line" + std::to_string(index)));
-        EXPECT_NE(world.endpointOf("line" + std::to_string(index)), world.endpointOf("history"));
+        harness.submit(request("line" + std::to_string(index)));
+        EXPECT_NE(harness.endpointOf("line" + std::to_string(index)),
+                  harness.endpointOf("history"));
     }
 }
 
-TEST(RoutingTest, ARetypedDraftReturnsToTheEndpointThatHoldsItsPrefix)
+TEST(RoutingTest, ARepeatedPromptReturnsToTheEndpointThatHoldsItsPrefix)
 {
-    World world;
-    world.addEngines(6);
+    Harness harness;
+    harness.addEngines(6);
     auto first = request("draft1");
     first.prefixBlocks = blocks(1000, 7);
-    world.submit(first);
-    const auto endpoint = world.endpointOf("draft1");
-    world.now += milliseconds(300);
-    world.firstToken("draft1");
-    world.finish("draft1");
+    harness.submit(first);
+    const auto endpoint = harness.endpointOf("draft1");
+    harness.now += milliseconds(300);
+    harness.firstToken("draft1");
+    harness.finish("draft1");
     auto second = request("draft2");
     second.prefixBlocks = blocks(1000, 7);
-    world.submit(second);
-    EXPECT_EQ(world.endpointOf("draft2"), endpoint);
+    harness.submit(second);
+    EXPECT_EQ(harness.endpointOf("draft2"), endpoint);
 }
 
-// One template becomes the fashion of the day: all requests share its prefix. Sending all of them
-// to the one holder would leave five endpoints idle while its queue grows.
+// All requests share one prefix. Sending all of them to the endpoint that holds it would leave five
+// endpoints idle while its queue grows.
 TEST(RoutingTest, AHotPrefixSpreadsOverEndpoints)
 {
-    World world;
-    world.addEngines(6);
+    Harness harness;
+    harness.addEngines(6);
     for (int index = 0; index < 24; ++index) {
         auto facts = request("r" + std::to_string(index));
         facts.prefixBlocks = blocks(1000, 7);
-        EXPECT_TRUE(has<Dispatch>(world.submit(facts)));
+        EXPECT_TRUE(has<Dispatch>(harness.submit(facts)));
     }
-    for (const auto &[endpoint, requests] : world.on) {
-        EXPECT_LE(requests.size(), 9U) << endpoint << ": the batch and one that waits";
+    for (const auto &[endpoint, requests] : harness.running) {
+        EXPECT_LE(requests.size(), 9U) << endpoint << ": the batch and one queued request";
     }
-    EXPECT_GE(world.on.size(), 3U);
+    EXPECT_GE(harness.running.size(), 3U);
 }
 
 LoadReport busyReport(std::int64_t running)
@@ -76,55 +76,55 @@
     return report;
 }
 
-// Each engine has room for two more, and its report of that stays the same for a second. An
-// instance that believed the report would send it a whole burst; the surplus waits on the engine,
-// behind everything else there, where dropping it is no longer free.
+// Each engine has two free slots, and its report of that stays the same for a while. An instance
+// that relied on the report alone would send a whole burst to one engine; the surplus would be
+// queued there behind everything else, where removing it is not free.
 TEST(RoutingTest, OwnSendsCorrectALaggingReport)
 {
-    World world;
-    world.scheduler.updateEndpoints(engines(4), world.now);
-    const auto describes = world.now;
+    Harness harness;
+    harness.scheduler.updateEndpoints(engines(4), harness.now);
+    const auto measuredAt = harness.now;
     for (int index = 0; index < 24; ++index) {
         for (int endpoint = 0; endpoint < 4; ++endpoint) {
             auto stale = busyReport(6);
-            stale.age = world.now - describes;
-            world.take(world.scheduler.reportLoad(EndpointId("e" + std::to_string(endpoint)), stale,
-                                                  world.now));
+            stale.age = harness.now - measuredAt;
+            harness.recordDispatches(harness.scheduler.reportLoad(
+                EndpointId("e" + std::to_string(endpoint)), stale, harness.now));
         }
-        world.now += milliseconds(5);
-        world.submit(request("r" + std::to_string(index)));
+        harness.now += milliseconds(5);
+        harness.submit(request("r" + std::to_string(index)));
     }
-    for (const auto &[endpoint, requests] : world.on) {
-        EXPECT_LE(requests.size(), 3U) << endpoint << ": two places and one waiting";
+    for (const auto &[endpoint, requests] : harness.running) {
+        EXPECT_LE(requests.size(), 3U) << endpoint << ": two slots and one queued request";
     }
-    EXPECT_EQ(world.order.size(), 12U);
+    EXPECT_EQ(harness.dispatchOrder.size(), 12U);
 }
 
-// Four instances have one request each on every engine of twelve, and see the same reports, in
-// which each engine has room for four more. If each believed that the room is its own, four times
-// as much would arrive, and the callers at the end would wait for a whole answer's time until the
-// next report. At most a second batch may end up waiting there.
+// Four instances have one request each on every one of twelve engines and see the same reports, in
+// which each engine has four free slots. If each instance used all of these slots, four times as
+// much would arrive, and the last callers would wait for the duration of a whole response until the
+// next report. At most a second batch may be queued on an engine.
 TEST(RoutingTest, InstancesWithTheSameStaleViewDoNotHerd)
 {
     std::map<std::string, std::size_t> sent;
     for (std::uint64_t instance = 0; instance < 4; ++instance) {
-        World world(tightOptions(), instance + 1);
+        Harness harness(lowSlackOptions(), instance + 1);
         const std::vector<InstanceId> instances(4, InstanceId("i"));
-        world.scheduler.updateInstances(instances, world.now);
-        world.scheduler.updateEndpoints(engines(12), world.now);
+        harness.scheduler.updateInstances(instances, harness.now);
+        harness.scheduler.updateEndpoints(engines(12), harness.now);
         for (int index = 0; index < 12; ++index) {
-            world.submit(request("before" + std::to_string(index)));
+            harness.submit(request("before" + std::to_string(index)));
         }
-        world.now += milliseconds(100);
+        harness.now += milliseconds(100);
         for (int endpoint = 0; endpoint < 12; ++endpoint) {
-            world.scheduler.reportLoad(EndpointId("e" + std::to_string(endpoint)), busyReport(4),
-                                       world.now);
+            harness.scheduler.reportLoad(EndpointId("e" + std::to_string(endpoint)), busyReport(4),
+                                         harness.now);
         }
-        world.now += milliseconds(500);
+        harness.now += milliseconds(500);
         for (int index = 0; index < 96; ++index) {
-            world.submit(request("r" + std::to_string(index)));
+            harness.submit(request("r" + std::to_string(index)));
         }
-        for (const auto &[endpoint, requests] : world.on) {
+        for (const auto &[endpoint, requests] : harness.running) {
             sent[endpoint] += requests.size();
         }
     }
@@ -133,32 +133,32 @@
     }
 }
 
-// The same engine is full with the requests of three other instances, which refill each place as it
-// falls free. The fourth has nothing there and would never see room in a report.
-TEST(RoutingTest, AnInstanceGetsItsPartOfAFullEndpoint)
+// An engine is full with the requests of three peers, which refill each slot as it becomes free.
+// The fourth instance has no request there and would never see spare capacity in a report.
+TEST(RoutingTest, AnInstanceGetsItsEqualPartOfAFullEndpoint)
 {
-    World world;
-    world.scheduler.updateInstances(std::vector<InstanceId>(4, InstanceId("i")), world.now);
-    world.scheduler.updateEndpoints(engines(1), world.now);
+    Harness harness;
+    harness.scheduler.updateInstances(std::vector<InstanceId>(4, InstanceId("i")), harness.now);
+    harness.scheduler.updateEndpoints(engines(1), harness.now);
     auto full = busyReport(8);
     full.waiting = 4;
-    world.scheduler.reportLoad(EndpointId("e0"), full, world.now);
-    world.submit(request("r1"));
-    world.submit(request("r2"));
-    world.submit(request("r3"));
-    EXPECT_EQ(world.on["e0"].size(), 2U) << "a fourth of 9 places";
+    harness.scheduler.reportLoad(EndpointId("e0"), full, harness.now);
+    harness.submit(request("r1"));
+    harness.submit(request("r2"));
+    harness.submit(request("r3"));
+    EXPECT_EQ(harness.running["e0"].size(), 2U) << "a quarter of 9 slots";
 }
 
 TEST(RoutingTest, AnEndpointWithTheAdapterIsPreferred)
 {
-    World world;
+    Harness harness;
     auto list = engines(6);
     list[4].adapters = {AdapterName("brass")};
-    world.scheduler.updateEndpoints(list, world.now);
+    harness.scheduler.updateEndpoints(list, harness.now);
     auto facts = request("r1");
     facts.target = Target::model(ModelName("inscription"), AdapterName("brass"));
-    world.submit(facts);
-    EXPECT_EQ(world.endpointOf("r1"), "e4");
+    harness.submit(facts);
+    EXPECT_EQ(harness.endpointOf("r1"), "e4");
 }
 
 TEST(ConcurrencyLimitTest, FollowsLastingDelayDownAndRecovers)
@@ -181,8 +181,8 @@
     EXPECT_DOUBLE_EQ(limit.value(), full);
 }
 
-// Short prompts of which the whole prefix is cached come after long cold ones. Both are faster than
-// expected, by factors that differ; the limit once fell to half because of that.
+// Short prompts with a fully cached prefix follow long uncached ones. Both are faster than
+// expected, by different factors, which used to halve the limit.
 TEST(ConcurrencyLimitTest, AnswersThatAreFasterThanExpectedDoNotLowerIt)
 {
     ConcurrencyLimit limit({});
@@ -199,41 +199,41 @@
 {
     const RoutingOptions routing;
     const ConcurrencyOptions concurrency;
-    std::map<EndpointHandle, int> users;
+    std::map<EndpointHandle, int> instancesByEndpoint;
     for (int instance = 0; instance < 94; ++instance) {
         EndpointTable table(routing, concurrency, InstanceId("i" + std::to_string(instance)),
                             Sapporo);
         table.update(engines(323), Time());
         ASSERT_EQ(table.candidates(Inscription).size(), routing.subsetSize);
         for (const auto handle : table.candidates(Inscription)) {
-            ++users[handle];
+            ++instancesByEndpoint[handle];
         }
     }
-    ASSERT_EQ(users.size(), 323U);
-    for (const auto &[handle, count] : users) {
+    ASSERT_EQ(instancesByEndpoint.size(), 323U);
+    for (const auto &[handle, count] : instancesByEndpoint) {
         EXPECT_GE(count, 5);
         EXPECT_LE(count, 40);
     }
 }
 
-// An endpoint that was lost comes back with an empty cache. With its full share at once every
-// request there would prefill its whole prompt at the same time.
+// A lost endpoint returns with an empty cache. With its full limit at once, every request there
+// would prefill its whole prompt at the same time.
 TEST(RoutingTest, AReturningEndpointStartsSlowly)
 {
-    World world;
-    world.addEngines(1);
-    world.now += seconds(60);
-    world.scheduler.updateEndpoints(engines(2), world.now);
-    world.reportAll(2);
+    Harness harness;
+    harness.addEngines(1);
+    harness.now += seconds(60);
+    harness.scheduler.updateEndpoints(engines(2), harness.now);
+    harness.reportAll(2);
     for (int index = 0; index < 17; ++index) {
-        world.submit(request("r" + std::to_string(index)));
+        harness.submit(request("r" + std::to_string(index)));
     }
-    EXPECT_LE(world.on["e1"].size(), 2U);
-    world.reportAll(2);
-    world.now += seconds(10);
-    world.reportAll(2);
-    world.tickAfter(milliseconds(20));
-    EXPECT_GE(world.on["e1"].size(), 7U);
+    EXPECT_LE(harness.running["e1"].size(), 2U);
+    harness.reportAll(2);
+    harness.now += seconds(10);
+    harness.reportAll(2);
+    harness.tickAfter(milliseconds(20));
+    EXPECT_GE(harness.running["e1"].size(), 7U);
 }
 
 } // namespace
--- a/Source/UnitTests/Decisions/SchedulerTest.cpp
+++ b/Source/UnitTests/Decisions/SchedulerTest.cpp
@@ -10,97 +10,97 @@
 
 TEST(SchedulerTest, ARequestGoesToAnEndpointThatServesItsModel)
 {
-    World world;
-    world.addEngines(1);
-    const auto effects = world.submit(request("r1"));
+    Harness harness;
+    harness.addEngines(1);
+    const auto effects = harness.submit(request("r1"));
     ASSERT_EQ(effects.size(), 1U);
     EXPECT_EQ(std::get<Dispatch>(effects.front()).endpoint, EndpointId("e0"));
 }
 
-TEST(SchedulerTest, WithoutAnEndpointTheRequestIsRefusedAsNotRun)
+TEST(SchedulerTest, WithoutAnEndpointTheRequestIsRejectedAsNotRun)
 {
-    World world;
-    const auto effects = world.submit(request("r1"));
+    Harness harness;
+    const auto effects = harness.submit(request("r1"));
     ASSERT_EQ(effects.size(), 1U);
-    const auto &refusal = std::get<Reject>(effects.front());
-    EXPECT_EQ(refusal.reason, RejectReason::NoEndpoint);
-    EXPECT_EQ(refusal.run, RunState::NotRun);
+    const auto &rejection = std::get<Reject>(effects.front());
+    EXPECT_EQ(rejection.reason, RejectReason::NoEndpoint);
+    EXPECT_EQ(rejection.run, RunState::NotRun);
 }
 
-// The platform announces that an endpoint leaves while it still answers. New work sent there would
-// be cut off when it goes; the caller sees a broken answer.
+// The platform announces that an endpoint is leaving while it still responds. New requests there
+// would be cut off when it goes.
 TEST(SchedulerTest, ALeavingEndpointGetsNoNewWork)
 {
-    World world;
+    Harness harness;
     auto list = engines(2);
     list[0].leaving = true;
-    world.scheduler.updateEndpoints(list, world.now);
+    harness.scheduler.updateEndpoints(list, harness.now);
     for (int index = 0; index < 16; ++index) {
-        world.submit(request("r" + std::to_string(index)));
+        harness.submit(request("r" + std::to_string(index)));
     }
-    EXPECT_TRUE(world.on["e0"].empty());
-    EXPECT_EQ(world.on["e1"].size(), 8U);
+    EXPECT_TRUE(harness.running["e0"].empty());
+    EXPECT_EQ(harness.running["e1"].size(), 8U);
 }
 
-// The caller hangs up while its request waits in a full region. If it stayed in the queue, an
-// endpoint would compute an answer for nobody while others wait.
+// The caller leaves while its request is queued in a full region. If it stayed in the queue, an
+// endpoint would compute a response that nobody reads while others wait.
 TEST(SchedulerTest, ACancelledRequestThatWaitsIsDroppedAndNeverSent)
 {
-    World world;
-    world.addEngines(1);
+    Harness harness;
+    harness.addEngines(1);
     for (int index = 0; index < 9; ++index) {
-        world.submit(request("r" + std::to_string(index)));
+        harness.submit(request("r" + std::to_string(index)));
     }
-    world.submit(request("gone"));
-    EXPECT_TRUE(has<Drop>(world.cancel("gone")));
+    harness.submit(request("gone"));
+    EXPECT_TRUE(has<Drop>(harness.cancel("gone")));
     for (int index = 0; index < 9; ++index) {
-        world.finish("r" + std::to_string(index));
+        harness.finish("r" + std::to_string(index));
     }
-    EXPECT_EQ(world.order.size(), 9U);
-    EXPECT_EQ(world.endpointOf("gone"), "");
+    EXPECT_EQ(harness.dispatchOrder.size(), 9U);
+    EXPECT_EQ(harness.endpointOf("gone"), "");
 }
 
-// A clerk retypes a draft while the first one is being generated.
+// A caller replaces a request while the first one is being generated.
 TEST(SchedulerTest, ASupersededRequestIsCancelledOnItsEndpoint)
 {
-    World world;
-    world.addEngines(2);
-    world.submit(request("draft1"));
-    const auto endpoint = world.endpointOf("draft1");
+    Harness harness;
+    harness.addEngines(2);
+    harness.submit(request("draft1"));
+    const auto endpoint = harness.endpointOf("draft1");
     auto second = request("draft2");
     second.supersedes = RequestId("draft1");
-    const auto effects = world.submit(second);
+    const auto effects = harness.submit(second);
     const auto cancels = all<CancelOnEndpoint>(effects);
     ASSERT_EQ(cancels.size(), 1U);
     EXPECT_EQ(cancels.front().endpoint, EndpointId(endpoint));
     EXPECT_TRUE(has<Dispatch>(effects));
 }
 
-TEST(SchedulerTest, AnExpiredRequestIsRefusedAsNotRun)
+TEST(SchedulerTest, AnExpiredRequestIsRejectedAsNotRun)
 {
-    World world;
-    world.addEngines(1);
+    Harness harness;
+    harness.addEngines(1);
     for (int index = 0; index < 9; ++index) {
-        world.submit(request("r" + std::to_string(index)));
+        harness.submit(request("r" + std::to_string(index)));
     }
     auto facts = request("late");
-    facts.deadline = world.now + milliseconds(200);
-    world.submit(facts);
-    const auto refusals = all<Reject>(world.tickAfter(milliseconds(200)));
-    ASSERT_EQ(refusals.size(), 1U);
-    EXPECT_EQ(refusals.front().request, RequestId("late"));
-    EXPECT_EQ(refusals.front().run, RunState::NotRun);
+    facts.deadline = harness.now + milliseconds(200);
+    harness.submit(facts);
+    const auto rejections = all<Reject>(harness.tickAfter(milliseconds(200)));
+    ASSERT_EQ(rejections.size(), 1U);
+    EXPECT_EQ(rejections.front().request, RequestId("late"));
+    EXPECT_EQ(rejections.front().run, RunState::NotRun);
 }
 
-TEST(SchedulerTest, ExplainTellsWhereARequestWent)
+TEST(SchedulerTest, ExplainNamesTheEndpointOfARequest)
 {
-    World world;
-    world.addEngines(1);
-    world.submit(request("r1"));
-    const auto lines = world.scheduler.explain(RequestId("r1"));
+    Harness harness;
+    harness.addEngines(1);
+    harness.submit(request("r1"));
+    const auto lines = harness.scheduler.explain(RequestId("r1"));
     ASSERT_EQ(lines.size(), 1U);
     EXPECT_NE(lines.front().find("sent to e0"), std::string::npos);
-    EXPECT_TRUE(world.scheduler.explain(RequestId("never seen")).empty());
+    EXPECT_TRUE(harness.scheduler.explain(RequestId("never seen")).empty());
 }
 
 } // namespace
--- a/Source/UnitTests/Decisions/SpillTest.cpp
+++ b/Source/UnitTests/Decisions/SpillTest.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-RequestFacts anywhere(const std::string &id)
+RequestFacts requestForAnyRegion(const std::string &id)
 {
     auto facts = request(id, id);
     facts.allowedRegions = {Sapporo, Asahikawa, Hakodate};
     return facts;
 }
 
-/// Offers a second's work to a full home region ten times a second; forwards in each second.
-std::vector<int> forwardsBySecond(World &world, int seconds, int perSecond,
+/// Submits `perSecond` requests per second; returns the number of forwards in each second.
+std::vector<int> forwardsBySecond(Harness &harness, int seconds, int perSecond,
                                   const RegionSummary &other)
 {
     std::vector<int> result;
@@ -25,163 +25,169 @@
     for (int second = 0; second < seconds; ++second) {
         int forwards = 0;
         for (int index = 0; index < perSecond; ++index) {
-            world.scheduler.updateRegions({other}, world.now);
-            const auto effects = world.submit(anywhere("s" + std::to_string(serial++)));
+            harness.scheduler.updateRegions({other}, harness.now);
+            const auto effects =
+                harness.submit(requestForAnyRegion("s" + std::to_string(serial++)));
             forwards += static_cast<int>(all<Forward>(effects).size());
-            world.now += std::chrono::microseconds(1000000 / perSecond);
+            harness.now += std::chrono::microseconds(1000000 / perSecond);
         }
         result.push_back(forwards);
     }
     return result;
 }
 
-// The desks of another region are idle, but say that they have no room, since a plain service has
-// no decode steps to reckon by. An order whose own desk refuses it would never be sent there.
-TEST(SpillTest, IdlePlainServiceHasRoomForOtherRegions)
+// Plain services have no decode steps from which to compute a capacity. If an idle one reported no
+// spare capacity, other regions would never forward requests to it.
+TEST(SpillTest, AnIdlePlainServiceReportsSpareCapacityToOtherRegions)
 {
-    World world;
+    Harness harness;
     const auto desk = Target::service(ServiceName("order-desk"));
     auto facts = engine("desk");
     facts.targets = {desk};
-    world.scheduler.updateEndpoints({facts}, world.now);
+    harness.scheduler.updateEndpoints({facts}, harness.now);
     LoadReport report;
     report.batchLimit = 4;
-    world.scheduler.reportLoad(EndpointId("desk"), report, world.now);
-    const auto summaries = world.scheduler.regionSummary(world.now);
+    harness.scheduler.reportLoad(EndpointId("desk"), report, harness.now);
+    const auto summaries = harness.scheduler.regionSummary(harness.now);
     ASSERT_EQ(summaries.size(), 1U);
     EXPECT_GT(summaries.front().freeTokensPerSecond, 0);
     EXPECT_DOUBLE_EQ(summaries.front().utilisation, 0);
 }
 
-TEST(SpillTest, HomeComesFirstWhileItHasRoom)
+TEST(SpillTest, HomeIsPreferredWhileItHasSpareCapacity)
 {
-    World world;
-    world.addEngines(2);
-    world.scheduler.updateRegions({summary(Asahikawa)}, world.now);
+    Harness harness;
+    harness.addEngines(2);
+    harness.scheduler.updateRegions({summary(Asahikawa)}, harness.now);
     for (int index = 0; index < 10; ++index) {
-        EXPECT_TRUE(has<Dispatch>(world.submit(anywhere("r" + std::to_string(index)))));
+        EXPECT_TRUE(
+            has<Dispatch>(harness.submit(requestForAnyRegion("r" + std::to_string(index)))));
     }
 }
 
-// The data of a ward office may not leave Sapporo, whose engines are all lost. An answer from
-// another region would be a breach; the caller is refused.
+// A request may not leave Sapporo, whose engines are all lost. A response from another region would
+// violate residency, so the request is rejected.
 TEST(SpillTest, ResidencyIsAHardBound)
 {
-    World world;
-    world.scheduler.updateRegions({summary(Asahikawa)}, world.now);
-    const auto refusals = all<Reject>(world.submit(request("r1")));
-    ASSERT_EQ(refusals.size(), 1U);
-    EXPECT_EQ(refusals.front().run, RunState::NotRun);
-    EXPECT_TRUE(has<Forward>(world.submit(anywhere("r2"))));
+    Harness harness;
+    harness.scheduler.updateRegions({summary(Asahikawa)}, harness.now);
+    const auto rejections = all<Reject>(harness.submit(request("r1")));
+    ASSERT_EQ(rejections.size(), 1U);
+    EXPECT_EQ(rejections.front().run, RunState::NotRun);
+    EXPECT_TRUE(has<Forward>(harness.submit(requestForAnyRegion("r2"))));
 }
 
-// A caller of Hakodate, whose data must stay there, reaches an entry in Sapporo. Its way to
-// Hakodate is not a shift of load: no rate or free share of the spill may turn it away here.
-TEST(SpillTest, ARequestThatMayNotRunHereIsAlwaysForwarded)
+// A request that may only run in Hakodate arrives in Sapporo. It has no alternative, so that
+// neither the forwarding rate nor the other region's free capacity may cause a rejection here.
+TEST(SpillTest, ARequestThatMayNotRunAtHomeIsAlwaysForwarded)
 {
-    World world;
-    world.addEngines(1);
+    Harness harness;
+    harness.addEngines(1);
     auto full = summary(Hakodate);
     full.freeTokensPerSecond = 0;
     for (int index = 0; index < 100; ++index) {
         auto facts = request("r" + std::to_string(index));
         facts.allowedRegions = {Hakodate};
-        const auto forwards = all<Forward>(world.submit(facts));
+        const auto forwards = all<Forward>(harness.submit(facts));
         ASSERT_EQ(forwards.size(), 1U) << index;
         EXPECT_EQ(forwards.front().region, Hakodate);
         if (index == 50) {
-            world.scheduler.updateRegions({full}, world.now);
+            harness.scheduler.updateRegions({full}, harness.now);
         }
     }
-    const auto refusals = all<Reject>(
-        world.scheduler.finished(RequestId("r1"), EndpointId(), Outcome::NotStarted, world.now));
-    ASSERT_EQ(refusals.size(), 1U);
-    EXPECT_EQ(refusals.front().reason, RejectReason::Overloaded);
-    EXPECT_GT(refusals.front().retryAfter, Duration(0));
+    const auto rejections = all<Reject>(harness.scheduler.finished(
+        RequestId("r1"), EndpointId(), Outcome::NotStarted, harness.now));
+    ASSERT_EQ(rejections.size(), 1U);
+    EXPECT_EQ(rejections.front().reason, RejectReason::Overloaded);
+    EXPECT_GT(rejections.front().retryAfter, Duration(0));
 }
 
-// Two regions each think that the other is less busy.
+// Without this rule two regions that each consider the other less busy would forward a request back
+// and forth.
 TEST(SpillTest, AForwardedRequestIsNeverForwardedAgain)
 {
-    World world;
-    world.scheduler.updateRegions({summary(Asahikawa), summary(Hakodate)}, world.now);
-    auto facts = anywhere("r1");
+    Harness harness;
+    harness.scheduler.updateRegions({summary(Asahikawa), summary(Hakodate)}, harness.now);
+    auto facts = requestForAnyRegion("r1");
     facts.forwardedFrom = Asahikawa;
-    const auto effects = world.submit(facts);
+    const auto effects = harness.submit(facts);
     EXPECT_FALSE(has<Forward>(effects));
     EXPECT_TRUE(has<Reject>(effects));
 }
 
-// The other region turned the request away after all. It is run at home and goes nowhere else.
-TEST(SpillTest, ARequestThatComesBackStaysAtHome)
+// The other region did not start the request. It runs at home and is not forwarded again.
+TEST(SpillTest, ARequestThatAnotherRegionDidNotStartRunsAtHome)
 {
-    World world;
-    world.scheduler.updateRegions({summary(Asahikawa), summary(Hakodate)}, world.now);
-    ASSERT_TRUE(has<Forward>(world.submit(anywhere("r1"))));
-    world.addEngines(1);
-    const auto effects = world.take(
-        world.scheduler.finished(RequestId("r1"), EndpointId(), Outcome::NotStarted, world.now));
+    Harness harness;
+    harness.scheduler.updateRegions({summary(Asahikawa), summary(Hakodate)}, harness.now);
+    ASSERT_TRUE(has<Forward>(harness.submit(requestForAnyRegion("r1"))));
+    harness.addEngines(1);
+    const auto effects = harness.recordDispatches(harness.scheduler.finished(
+        RequestId("r1"), EndpointId(), Outcome::NotStarted, harness.now));
     EXPECT_TRUE(has<Dispatch>(effects));
     EXPECT_FALSE(has<Forward>(effects));
 }
 
 // All engines of the region are lost at once while the others have a fifth of their capacity free.
-// If all of its load left at once, the caches and queues of the others would collapse under it.
-TEST(SpillTest, TheRateOutStartsLowAndStaysWithinTheBound)
+// If its whole load moved at once, the caches and queues of the others would collapse.
+TEST(SpillTest, TheForwardingRateStartsLowAndStaysWithinTheBound)
 {
-    World world;
+    Harness harness;
     const auto other = summary(Asahikawa);
-    const auto forwards = forwardsBySecond(world, 20, 100, other);
+    const auto forwards = forwardsBySecond(harness, 20, 100, other);
     const double work = 100 + 500 * AdmissionOptions().prefillTokenWeight;
-    const double bound = SpillOptions().freeShareWithoutHome * other.freeTokensPerSecond / work;
-    EXPECT_LE(forwards.front(), 2 * SpillOptions().startShare * bound + 2);
+    const double bound =
+        SpillOptions().freeCapacityFractionWithoutHome * other.freeTokensPerSecond / work;
+    EXPECT_LE(forwards.front(), 2 * SpillOptions().startFraction * bound + 2);
     EXPECT_GE(forwards.back(), 0.8 * bound);
     for (const auto count : forwards) {
         EXPECT_LE(count, bound + 1);
     }
 }
 
-// Long histories over a link of 140 Mbit/s that carries everything else as well.
+// Long prompts are forwarded over a link that carries other traffic as well. Links between regions
+// have 140 Mbit/s; the test uses 1 Mbit/s.
 TEST(SpillTest, TheLinkBudgetIsKept)
 {
-    World world;
+    Harness harness;
     auto other = summary(Asahikawa);
     other.freeTokensPerSecond = 1e9;
     other.linkMegabitsPerSecond = 1;
-    const auto forwards = forwardsBySecond(world, 10, 100, other);
+    const auto forwards = forwardsBySecond(harness, 10, 100, other);
     const double bytes =
         500 * SpillOptions().bytesPerPromptToken + 100 * SpillOptions().bytesPerOutputToken;
-    const double bound = SpillOptions().linkShare * 125000 / bytes;
+    const double bound = SpillOptions().linkFraction * 125000 / bytes;
     for (std::size_t second = 1; second < forwards.size(); ++second) {
         EXPECT_LE(forwards[second], bound + 1);
     }
     EXPECT_GE(forwards.back(), 1);
 }
 
-TEST(SpillTest, AStaleOrUnreachableRegionGetsNothing)
+TEST(SpillTest, AStaleOrUnreachableRegionGetsNoRequests)
 {
-    World world;
+    Harness harness;
     auto lost = summary(Asahikawa);
     lost.reachable = false;
     auto stale = summary(Hakodate);
     stale.age = seconds(6);
-    world.scheduler.updateRegions({lost, stale}, world.now);
-    EXPECT_TRUE(has<Reject>(world.submit(anywhere("r1"))));
+    harness.scheduler.updateRegions({lost, stale}, harness.now);
+    EXPECT_TRUE(has<Reject>(harness.submit(requestForAnyRegion("r1"))));
 }
 
-/// One random step against a scheduler whose requests carry random residency rules.
-struct Player
+/// Random operations on a scheduler whose requests have random residency rules; checks every
+/// effect.
+struct RandomDriver
 {
     static SchedulerOptions options()
     {
-        auto result = tightOptions();
-        // Few saved retries, so that the budget is soon what decides.
+        auto result = lowSlackOptions();
+        // A small budget, so that it soon limits the retries.
         result.retry.budgetMaximum = 1;
-        result.retry.sufferingShare = 2;
+        result.retry.maxFailingFraction = 2;
         return result;
     }
 
-    World world{options(), 3};
+    Harness harness{options(), 3};
     std::map<std::string, RequestFacts> facts;
     std::map<std::string, int> forwards;
     std::set<std::string> forwarded;
@@ -216,23 +222,23 @@
         request.forwardedFrom = *rc::gen::element(RegionName(), Hakodate);
         request.repeatable = *rc::gen::arbitrary<bool>();
         facts[request.id.text()] = request;
-        check(world.submit(request));
+        check(harness.submit(request));
     }
 
-    void endOne()
+    void finishOne()
     {
         const auto outcome = *rc::gen::element(Outcome::Completed, Outcome::NotStarted,
                                                Outcome::Failed, Outcome::EndpointDied);
         if (!forwarded.empty() && *rc::gen::arbitrary<bool>()) {
             const auto id = *forwarded.begin();
             forwarded.erase(id);
-            check(world.finishOn(id, "", outcome));
+            check(harness.finishOn(id, "", outcome));
             return;
         }
-        for (const auto &[endpoint, requests] : world.on) {
+        for (const auto &[endpoint, requests] : harness.running) {
             if (!requests.empty()) {
                 notStarted += outcome == Outcome::NotStarted ? 1 : 0;
-                check(world.finishOn(*requests.begin(), endpoint, outcome));
+                check(harness.finishOn(*requests.begin(), endpoint, outcome));
                 return;
             }
         }
@@ -242,16 +248,16 @@
     {
         switch (*rc::gen::inRange(0, 6)) {
         case 0:
-            check(world.tickAfter(milliseconds(200)));
+            check(harness.tickAfter(milliseconds(200)));
             return;
         case 1:
-            world.scheduler.updateRegions({summary(Asahikawa), summary(Hakodate)}, world.now);
+            harness.scheduler.updateRegions({summary(Asahikawa), summary(Hakodate)}, harness.now);
             return;
         case 2:
-            world.addEngines(*rc::gen::inRange(0, 3));
+            harness.addEngines(*rc::gen::inRange(0, 3));
             return;
         case 3:
-            endOne();
+            finishOne();
             return;
         default:
             submit();
@@ -261,25 +267,26 @@
 
 RC_GTEST_PROP(SpillProperty, ResidencyIsNeverBrokenAndNothingIsForwardedTwice, ())
 {
-    Player player;
+    RandomDriver driver;
     for (int index = 0; index < 150; ++index) {
-        player.step();
+        driver.step();
     }
 }
 
 RC_GTEST_PROP(RetryProperty, TheBudgetIsNeverExceeded, ())
 {
-    Player player;
+    RandomDriver driver;
     for (int index = 0; index < 300; ++index) {
-        player.step();
+        driver.step();
     }
-    const RetryOptions retry = Player::options().retry;
-    const auto first = player.facts.size();
-    std::set<std::string> sent(player.world.order.begin(), player.world.order.end());
-    const auto again = static_cast<double>(player.world.order.size() - sent.size());
-    // What was not started may go on to another endpoint without the budget.
-    RC_ASSERT(again <= player.notStarted + retry.budgetMaximum
-                           + retry.budgetShare * static_cast<double>(first));
+    const RetryOptions retry = RandomDriver::options().retry;
+    const auto first = driver.facts.size();
+    std::set<std::string> sent(driver.harness.dispatchOrder.begin(),
+                               driver.harness.dispatchOrder.end());
+    const auto retries = static_cast<double>(driver.harness.dispatchOrder.size() - sent.size());
+    // Requests that were not started may be sent to another endpoint without using the budget.
+    RC_ASSERT(retries <= driver.notStarted + retry.budgetMaximum
+                             + retry.budgetRatio * static_cast<double>(first));
 }
 
 } // namespace
--- a/Source/UnitTests/Decisions/Support.h
+++ b/Source/UnitTests/Decisions/Support.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Builders and a small world of endpoints for the tests of Decisions.
+// Test data and a harness that simulates the endpoints of a scheduler.
 
 #include <algorithm>
 #include <map>
@@ -83,24 +83,25 @@
     return !all<Kind>(effects).empty();
 }
 
-/// One request may wait on an engine beyond its batch, so that few requests fill a region.
-inline SchedulerOptions tightOptions()
+/// Lets only one request queue on an engine beyond its batch limit, so that few requests fill a
+/// region.
+inline SchedulerOptions lowSlackOptions()
 {
     SchedulerOptions options;
     options.concurrency.slack = 1;
     return options;
 }
 
-/// A scheduler, its clock, and what is on which endpoint.
-class World
+/// A scheduler, its clock, and the requests on each endpoint.
+class Harness
 {
 public:
-    explicit World(SchedulerOptions options = tightOptions(), std::uint64_t seed = 1)
+    explicit Harness(SchedulerOptions options = lowSlackOptions(), std::uint64_t seed = 1)
         : scheduler(options, InstanceId("i1"), Sapporo, seed)
     {
     }
 
-    /// Idle engines, each of which reported just now.
+    /// Replaces the endpoints by idle engines with a current load report.
     void addEngines(int count)
     {
         scheduler.updateEndpoints(engines(count), now);
@@ -110,26 +111,27 @@
     {
         for (int index = 0; index < count; ++index) {
             auto report = idleReport();
-            report.running = static_cast<std::int64_t>(on["e" + std::to_string(index)].size());
-            take(scheduler.reportLoad(EndpointId("e" + std::to_string(index)), report, now));
+            report.running = static_cast<std::int64_t>(running["e" + std::to_string(index)].size());
+            recordDispatches(
+                scheduler.reportLoad(EndpointId("e" + std::to_string(index)), report, now));
         }
     }
     Effects submit(RequestFacts facts)
     {
-        return take(scheduler.submit(std::move(facts), now));
+        return recordDispatches(scheduler.submit(std::move(facts), now));
     }
     Effects cancel(const std::string &id)
     {
-        return take(scheduler.cancel(RequestId(id), now));
+        return recordDispatches(scheduler.cancel(RequestId(id), now));
     }
     Effects tickAfter(Duration passed)
     {
         now += passed;
-        return take(scheduler.tick(now));
+        return recordDispatches(scheduler.tick(now));
     }
     std::string endpointOf(const std::string &id) const
     {
-        for (const auto &[endpoint, requests] : on) {
+        for (const auto &[endpoint, requests] : running) {
             if (requests.count(id) != 0) {
                 return endpoint;
             }
@@ -138,7 +140,8 @@
     }
     Effects firstToken(const std::string &id)
     {
-        return take(scheduler.firstToken(RequestId(id), EndpointId(endpointOf(id)), now));
+        return recordDispatches(
+            scheduler.firstToken(RequestId(id), EndpointId(endpointOf(id)), now));
     }
     Effects finish(const std::string &id, Outcome outcome = Outcome::Completed)
     {
@@ -146,36 +149,36 @@
     }
     Effects finishOn(const std::string &id, const std::string &endpoint, Outcome outcome)
     {
-        // The id may be an element of the very set that it is taken out of here.
+        // Copied, since the id may refer to an element of the set that is modified here.
         const RequestId request(id);
-        on[endpoint].erase(id);
-        return take(scheduler.finished(request, EndpointId(endpoint), outcome, now));
+        running[endpoint].erase(id);
+        return recordDispatches(scheduler.finished(request, EndpointId(endpoint), outcome, now));
     }
-    /// The endpoint dies with everything on it.
-    Effects die(const std::string &endpoint)
+    /// Ends all requests of the endpoint with Outcome::EndpointDied.
+    Effects killEndpoint(const std::string &endpoint)
     {
         Effects all;
-        const auto aboard = on[endpoint];
-        for (const auto &id : aboard) {
+        const auto requests = running[endpoint];
+        for (const auto &id : requests) {
             const auto effects = finishOn(id, endpoint, Outcome::EndpointDied);
             all.insert(all.end(), effects.begin(), effects.end());
         }
         return all;
     }
-    Effects take(Effects effects)
+    Effects recordDispatches(Effects effects)
     {
         for (const auto &sent : all<Dispatch>(effects)) {
-            on[sent.endpoint.text()].insert(sent.request.text());
-            order.push_back(sent.request.text());
+            running[sent.endpoint.text()].insert(sent.request.text());
+            dispatchOrder.push_back(sent.request.text());
         }
         return effects;
     }
 
     Time now = Time() + std::chrono::hours(1);
     Scheduler scheduler;
-    std::map<std::string, std::set<std::string>> on;
-    /// Requests in the order in which they were sent.
-    std::vector<std::string> order;
+    std::map<std::string, std::set<std::string>> running;
+    /// Requests in the order of their dispatch.
+    std::vector<std::string> dispatchOrder;
 };
 
 } // namespace LaburnumChute::Decisions::Testing
