--- a/Source/Core/Decisions/Admission.h
+++ b/Source/Core/Decisions/Admission.h
@@ -56,8 +56,8 @@
     /// Work was dispatched to an endpoint.
     void dispatched(const CustomerName &customer, double workTokens, Time now);
 
-    /// Whether the customer's recent use relative to its weight is above the mean of the waiting
-    /// customers.
+    /// Whether the customer's recent use relative to its weight exceeds the mean of the waiting
+    /// customers by more than a tolerance.
     bool exceedsFairShare(const CustomerName &customer, Time now) const;
     /// Drain rate of the target's queue in decode tokens per second.
     double drainRate(const Target &base, double capacity, Time now) const;
--- a/Source/Core/Decisions/RetryBudget.h
+++ b/Source/Core/Decisions/RetryBudget.h
@@ -39,9 +39,9 @@
     double balance_;
 };
 
-/// Whether a request may be retried after this outcome, regardless of the budget: never if it may
-/// have run and is not repeatable, nor after its first token, since the caller would see two
-/// beginnings.
+/// Whether a request may be retried after this outcome, regardless of the budget. A request that
+/// may have run is retried only if it is repeatable and did not time out, and not after its first
+/// token, since the caller would see two beginnings.
 bool mayRetry(const RequestFacts &facts, Outcome outcome, bool sawFirstToken);
 
 /// The run state that a rejection after this outcome may report.
--- a/Source/Core/Decisions/Spill.h
+++ b/Source/Core/Decisions/Spill.h
@@ -51,8 +51,8 @@
     /// control may reject the request. None if no other region is allowed, or if the request was
     /// forwarded to this region.
     std::optional<RegionName> requiredRegion(const RequestFacts &facts, Time now) const;
-    /// Whether some other region that the residency rule allows serves the target, whatever its
-    /// load.
+    /// Whether another region that the residency rule allows serves the target and reports free
+    /// capacity, regardless of this instance's budgets for it.
     bool servedInOtherRegion(const RequestFacts &facts, Time now) const;
     nlohmann::json dump(Time now) const;
 
