--- a/Source/UnitTests/Decisions/FailureTest.cpp
+++ b/Source/UnitTests/Decisions/FailureTest.cpp
@@ -222,7 +222,7 @@
 
 // One engine fails every request immediately. It always looks idle and attracts more requests than
 // any other until it is ejected.
-TEST(EjectionTest, AFailingEndpointIsEjected)
+TEST(EjectionTest, AFailingEndpointSoonGetsNoRequests)
 {
     Harness harness;
     harness.addEngines(4);
@@ -268,7 +268,7 @@
 }
 
 // One engine takes ten times as long as its load reports explain.
-TEST(EjectionTest, ASlowEndpointIsEjected)
+TEST(EjectionTest, ASlowEndpointGetsFewRequests)
 {
     auto options = lowSlackOptions();
     options.retry.hedgeAfter = 0;
