--- a/Source/Core/Decisions/Ejection.cpp
+++ b/Source/Core/Decisions/Ejection.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr double RatioWeight = 0.2;
-constexpr double FailureWeight = 0.2;
-/// A failing endpoint looks this many times dearer at a failure rate of 1.
-constexpr double FailureCost = 20;
-constexpr double FailingAbove = 0.5;
+constexpr double RatioSmoothing = 0.2;
+constexpr double FailureSmoothing = 0.2;
+/// Additional cost factor of an endpoint with a failure rate of 1.
+constexpr double FailureCostFactor = 20;
+constexpr double FailingThreshold = 0.5;
 
 } // namespace
 
@@ -19,55 +19,55 @@
 {
 }
 
-void Ejection::succeeded(Slot slot, double ratio, Time now)
+void Ejection::succeeded(EndpointHandle handle, double delayRatio, Time now)
 {
-    auto &health = health_[slot];
+    auto &health = health_[handle];
     health.consecutiveFailures = 0;
-    health.failureRate -= FailureWeight * health.failureRate;
-    health.ratio += RatioWeight * (ratio - health.ratio);
+    health.failureRate -= FailureSmoothing * health.failureRate;
+    health.delayRatio += RatioSmoothing * (delayRatio - health.delayRatio);
     ++health.samples;
-    // Long after its last ejection an endpoint is judged as if it had never been out.
+    // After maxEjection without an ejection the backoff starts again at firstEjection.
     if (health.ejections > 0 && now - health.ejectedUntil > options_.maxEjection) {
         health.ejections = 0;
     }
 }
 
-void Ejection::failed(Slot slot, Time /*now*/)
+void Ejection::failed(EndpointHandle handle, Time /*now*/)
 {
-    auto &health = health_[slot];
+    auto &health = health_[handle];
     ++health.consecutiveFailures;
-    health.failureRate += FailureWeight * (1 - health.failureRate);
+    health.failureRate += FailureSmoothing * (1 - health.failureRate);
 }
 
-void Ejection::forget(Slot slot)
+void Ejection::forget(EndpointHandle handle)
 {
-    health_.erase(slot);
+    health_.erase(handle);
 }
 
-const Ejection::Health &Ejection::health(Slot slot) const
+const Ejection::Health &Ejection::health(EndpointHandle handle) const
 {
     static const Health unknown;
-    const auto found = health_.find(slot);
+    const auto found = health_.find(handle);
     return found == health_.end() ? unknown : found->second;
 }
 
-double Ejection::medianRatio(const std::vector<Slot> &group) const
+double Ejection::medianRatio(const std::vector<EndpointHandle> &group) const
 {
-    std::vector<double> ratios;
-    ratios.reserve(group.size());
-    for (const auto slot : group) {
-        ratios.push_back(health(slot).ratio);
+    std::vector<double> delayRatios;
+    delayRatios.reserve(group.size());
+    for (const auto handle : group) {
+        delayRatios.push_back(health(handle).delayRatio);
     }
-    const auto middle = ratios.begin() + static_cast<std::ptrdiff_t>(ratios.size() / 2);
-    std::nth_element(ratios.begin(), middle, ratios.end());
+    const auto middle = delayRatios.begin() + static_cast<std::ptrdiff_t>(delayRatios.size() / 2);
+    std::nth_element(delayRatios.begin(), middle, delayRatios.end());
     return *middle;
 }
 
-bool Ejection::deserves(const Health &health, double median) const
+bool Ejection::shouldEject(const Health &health, double median) const
 {
     const bool failing = health.consecutiveFailures >= options_.consecutiveFailures;
     const bool slow = health.samples >= options_.slowSamples
-                      && health.ratio > options_.slowRatio * std::max(median, 1.0);
+                      && health.delayRatio > options_.slowRatio * std::max(median, 1.0);
     return failing || slow;
 }
 
@@ -76,73 +76,73 @@
     const auto factor = 1 << std::min(health.ejections, 8);
     health.ejectedUntil = now + std::min(options_.firstEjection * factor, options_.maxEjection);
     ++health.ejections;
-    // Judged anew when it returns.
+    // The endpoint is evaluated from scratch when it returns.
     health.consecutiveFailures = 0;
     health.samples = 0;
-    health.ratio = 1;
+    health.delayRatio = 1;
 }
 
-void Ejection::review(const std::vector<Slot> &group, Time now)
+void Ejection::evaluate(const std::vector<EndpointHandle> &group, Time now)
 {
     if (group.empty()) {
         return;
     }
     const double median = medianRatio(group);
-    std::vector<Health *> deserving;
-    std::size_t out = 0;
-    for (const auto slot : group) {
-        auto &health = health_[slot];
+    std::vector<Health *> toEject;
+    std::size_t ejectedCount = 0;
+    for (const auto handle : group) {
+        auto &health = health_[handle];
         health.panic = false;
         if (health.ejectedUntil > now) {
-            ++out;
-        } else if (deserves(health, median)) {
-            deserving.push_back(&health);
+            ++ejectedCount;
+        } else if (shouldEject(health, median)) {
+            toEject.push_back(&health);
         }
     }
     const auto allowed =
-        static_cast<std::size_t>(options_.maxEjectedShare * static_cast<double>(group.size()));
-    if (out + deserving.size() > allowed) {
-        const bool panic = !deserving.empty();
-        for (const auto slot : group) {
-            health_[slot].panic = panic;
+        static_cast<std::size_t>(options_.maxEjectedFraction * static_cast<double>(group.size()));
+    if (ejectedCount + toEject.size() > allowed) {
+        const bool panic = !toEject.empty();
+        for (const auto handle : group) {
+            health_[handle].panic = panic;
         }
         return;
     }
-    for (auto *health : deserving) {
+    for (auto *health : toEject) {
         eject(*health, now);
     }
 }
 
-bool Ejection::excluded(Slot slot, Time now) const
+bool Ejection::excluded(EndpointHandle handle, Time now) const
 {
-    const auto &entry = health(slot);
+    const auto &entry = health(handle);
     return entry.ejectedUntil > now && !entry.panic;
 }
 
-double Ejection::costFactor(Slot slot) const
+double Ejection::costFactor(EndpointHandle handle) const
 {
-    const auto &entry = health(slot);
-    return std::max(1.0, entry.ratio) * (1 + FailureCost * entry.failureRate);
+    const auto &entry = health(handle);
+    return std::max(1.0, entry.delayRatio) * (1 + FailureCostFactor * entry.failureRate);
 }
 
-double Ejection::failingShare(const std::vector<Slot> &group) const
+double Ejection::failingFraction(const std::vector<EndpointHandle> &group) const
 {
     if (group.empty()) {
         return 0;
     }
-    const auto failing = std::count_if(group.begin(), group.end(), [this](Slot slot) {
-        return health(slot).failureRate > FailingAbove;
+    const auto failing = std::count_if(group.begin(), group.end(), [this](EndpointHandle handle) {
+        return health(handle).failureRate > FailingThreshold;
     });
     return static_cast<double>(failing) / static_cast<double>(group.size());
 }
 
-nlohmann::json Ejection::dump(Slot slot, Time now) const
+nlohmann::json Ejection::dump(EndpointHandle handle, Time now) const
 {
-    const auto &entry = health(slot);
-    return {{"excluded", excluded(slot, now)},
+    const auto &entry = health(handle);
+    return {{"excluded", excluded(handle, now)},
             {"panic", entry.panic},
             {"failure_rate", entry.failureRate},
-            {"slowness", entry.ratio},
+            {"slowness", entry.delayRatio},
             {"ejections", entry.ejections}};
 }
 
