--- a/Source/Core/Gateway/EndpointMonitor.cpp
+++ b/Source/Core/Gateway/EndpointMonitor.cpp
@@ -14,8 +14,8 @@
 namespace D = LaburnumChute::Decisions;
 using nlohmann::json;
 
-/// One read is lost now and then; three in a row, each a load interval apart, are an endpoint that
-/// is gone. The platform's list says so only much later.
+/// Single reads fail occasionally. Three consecutive failures, one load interval apart, mean that
+/// the endpoint is unreachable; the platform's list reports that much later.
 constexpr int FailedReadsLimit = 3;
 constexpr std::size_t ReportLimitBytes = 256 * 1024;
 
@@ -87,13 +87,14 @@
 void EndpointMonitor::watch(std::vector<Readers::ListedEndpoint> endpoints)
 {
     asio::post(context_, [this, endpoints = std::move(endpoints)] {
-        std::map<Common::EndpointId, std::shared_ptr<Watched>> next;
+        std::map<Common::EndpointId, std::shared_ptr<WatchedEndpoint>> next;
         for (const auto &endpoint : endpoints) {
             const auto known = watched_.find(endpoint.id);
             const bool same =
                 known != watched_.end() && known->second->endpoint.http == endpoint.http;
             next[endpoint.id] =
-                same ? known->second : std::make_shared<Watched>(Watched{endpoint, 0, false});
+                same ? known->second
+                     : std::make_shared<WatchedEndpoint>(WatchedEndpoint{endpoint, 0, false});
             if (!same) {
                 asio::co_spawn(context_, poll(next[endpoint.id]), asio::detached);
             }
@@ -106,7 +107,7 @@
     });
 }
 
-asio::awaitable<void> EndpointMonitor::poll(std::shared_ptr<Watched> watched)
+asio::awaitable<void> EndpointMonitor::poll(std::shared_ptr<WatchedEndpoint> watched)
 {
     auto nextCacheEvents = std::chrono::steady_clock::now();
     while (!watched->stopped) {
@@ -120,7 +121,7 @@
     }
 }
 
-asio::awaitable<Common::Result<std::string>> EndpointMonitor::get(const Watched &watched,
+asio::awaitable<Common::Result<std::string>> EndpointMonitor::get(const WatchedEndpoint &watched,
                                                                   std::string target)
 {
     Endpoints::EndpointRequest request;
@@ -147,17 +148,17 @@
             co_return body;
         }
     }
-    co_return Common::makeError(Common::ErrorCode::TooLarge, "the report is too large");
+    co_return Common::makeError(Common::ErrorCode::TooLarge, "the response is too large");
 }
 
-asio::awaitable<void> EndpointMonitor::readLoad(std::shared_ptr<Watched> watched)
+asio::awaitable<void> EndpointMonitor::readLoad(std::shared_ptr<WatchedEndpoint> watched)
 {
     const bool engine = watched->endpoint.kind == Readers::EndpointKind::Engine;
     const auto body = co_await get(*watched, engine ? "/v1/load" : "/load");
-    note(*watched, body.has_value());
+    updateReachability(*watched, body.has_value());
     if (!body) {
-        Common::log(Common::LogType::Endpoints, Common::LogLevel::Debug, "no load report: {}",
-                    body.error().message);
+        Common::log(Common::LogType::Endpoints, Common::LogLevel::Debug,
+                    "cannot read the load report: {}", body.error().message);
         co_return;
     }
     const auto document = json::parse(*body, nullptr, false);
@@ -170,7 +171,7 @@
     });
 }
 
-void EndpointMonitor::note(Watched &watched, bool answered)
+void EndpointMonitor::updateReachability(WatchedEndpoint &watched, bool answered)
 {
     watched.failedReads = answered ? 0 : watched.failedReads + 1;
     const bool reachable = watched.failedReads < FailedReadsLimit;
@@ -179,14 +180,14 @@
     }
     watched.reachable = reachable;
     Common::log(Common::LogType::Endpoints, Common::LogLevel::Warning, "{} {}", watched.endpoint.id,
-                reachable ? "answers again" : "does not answer");
+                reachable ? "is reachable again" : "is unreachable");
     dispatcher_.command(
         [id = watched.endpoint.id, reachable](D::Scheduler &scheduler, Common::Time now) {
             return scheduler.reachability(id, reachable, now);
         });
 }
 
-asio::awaitable<void> EndpointMonitor::readCacheEvents(std::shared_ptr<Watched> watched)
+asio::awaitable<void> EndpointMonitor::readCacheEvents(std::shared_ptr<WatchedEndpoint> watched)
 {
     const auto body =
         co_await get(*watched, fmt::format("/v1/cache-events?after={}", watched->lastCacheEvent));
--- a/Source/Core/Gateway/EndpointMonitor.h
+++ b/Source/Core/Gateway/EndpointMonitor.h
@@ -21,19 +21,19 @@
     Common::milliseconds timeout{1000};
 };
 
-/// Reads the load reports and cache events of the home region's endpoints and hands them to the
-/// scheduler. Lives on one context.
+/// Polls the load reports and cache events of the home region's endpoints and passes them to the
+/// scheduler. Runs on a single context.
 class EndpointMonitor
 {
 public:
     EndpointMonitor(asio::io_context &context, EndpointMonitorOptions options,
                     Endpoints::ConnectionPoolOptions poolOptions, Dispatcher &dispatcher);
 
-    /// The endpoints to watch from now on; may be called from any thread.
+    /// Replaces the set of monitored endpoints; may be called from any thread.
     void watch(std::vector<Readers::ListedEndpoint> endpoints);
 
 private:
-    struct Watched
+    struct WatchedEndpoint
     {
         Readers::ListedEndpoint endpoint;
         std::uint64_t lastCacheEvent = 0;
@@ -42,18 +42,19 @@
         bool reachable = true;
     };
 
-    asio::awaitable<void> poll(std::shared_ptr<Watched> watched);
-    asio::awaitable<void> readLoad(std::shared_ptr<Watched> watched);
-    /// Tells the scheduler when an endpoint has gone or come back.
-    void note(Watched &watched, bool answered);
-    asio::awaitable<void> readCacheEvents(std::shared_ptr<Watched> watched);
-    asio::awaitable<Common::Result<std::string>> get(const Watched &watched, std::string target);
+    asio::awaitable<void> poll(std::shared_ptr<WatchedEndpoint> watched);
+    asio::awaitable<void> readLoad(std::shared_ptr<WatchedEndpoint> watched);
+    /// Tells the scheduler when an endpoint becomes unreachable or reachable again.
+    void updateReachability(WatchedEndpoint &watched, bool answered);
+    asio::awaitable<void> readCacheEvents(std::shared_ptr<WatchedEndpoint> watched);
+    asio::awaitable<Common::Result<std::string>> get(const WatchedEndpoint &watched,
+                                                     std::string target);
 
     asio::io_context &context_;
     EndpointMonitorOptions options_;
     std::shared_ptr<Endpoints::ConnectionPool> pool_;
     Dispatcher &dispatcher_;
-    std::map<Common::EndpointId, std::shared_ptr<Watched>> watched_;
+    std::map<Common::EndpointId, std::shared_ptr<WatchedEndpoint>> watched_;
 };
 
 } // namespace LaburnumChute::Gateway
--- a/Source/Core/Gateway/GatewayOptions.cpp
+++ b/Source/Core/Gateway/GatewayOptions.cpp
@@ -16,12 +16,12 @@
 constexpr const char *EndpointsPart = "endpoints";
 constexpr const char *Logs = "logs";
 constexpr const char *Shutdown = "shutdown";
-constexpr const char *LedgerPart = "requests that run once";
+constexpr const char *LedgerPart = "at-most-once requests";
 constexpr const char *DecisionsPart = "decisions";
 
-constexpr const char *AnyName = "a name";
-constexpr const char *AnyAddress = "an address of the form ip:port";
-constexpr const char *AnyDuration = "a duration above zero such as 250ms or 2s";
+constexpr const char *ExpectedName = "a name";
+constexpr const char *ExpectedAddress = "an address of the form ip:port";
+constexpr const char *ExpectedDuration = "a duration above zero such as 250ms or 2s";
 
 bool isAddress(const std::string &text)
 {
@@ -34,130 +34,120 @@
 }
 
 const Setting<std::string> InstanceIdSetting{"instance-id", Identity, "", "Name of this instance",
-                                             AnyName};
-const Setting<std::string> RegionSetting{"region", Identity, "", "Region it runs in", AnyName};
+                                             ExpectedName};
+const Setting<std::string> RegionSetting{"region", Identity, "", "Region of this instance",
+                                         ExpectedName};
 const Setting<std::string> DomainSetting{"failure-domain", Identity, "",
-                                         "Failure domain it runs in", AnyName};
+                                         "Failure domain of this instance", ExpectedName};
 
 const Setting<std::string> HttpSetting{"http-address",   Addresses,
-                                       "127.0.0.1:8080", "Where callers are served",
-                                       AnyAddress,       &isAddress};
+                                       "127.0.0.1:8080", "HTTP address for callers",
+                                       ExpectedAddress,  &isAddress};
 const Setting<std::string> OperatorSetting{"operator-address", Addresses,
-                                           "127.0.0.1:8081",   "Where operators are answered",
-                                           AnyAddress,         &isAddress};
+                                           "127.0.0.1:8081",   "HTTP address for operators",
+                                           ExpectedAddress,    &isAddress};
 const Setting<std::string> GossipSetting{"gossip-address", Addresses,
                                          "127.0.0.1:8082", "UDP address for other instances",
-                                         AnyAddress,       &isAddress};
+                                         ExpectedAddress,  &isAddress};
 const Setting<std::string> ChannelSetting{"channel-address", Addresses,
                                           "127.0.0.1:8083",  "TCP address for other instances",
-                                          AnyAddress,        &isAddress};
+                                          ExpectedAddress,   &isAddress};
 
-const Setting<std::string> ConfigurationSetting{"configuration-service",
-                                                Platform,
-                                                "",
-                                                "Address of the configuration service",
-                                                AnyAddress,
-                                                &isAddress};
+const Setting<std::string> ConfigurationSetting{
+    "configuration-service", Platform,  "", "Address of the configuration service",
+    ExpectedAddress,         &isAddress};
 const Setting<std::string> InstanceListSetting{
-    "instance-list", Platform, "", "Address of the instance list", AnyAddress, &isAddress};
+    "instance-list", Platform, "", "Address of the instance list", ExpectedAddress, &isAddress};
 const Setting<std::string> WeightStoreSetting{
-    "weight-store", Platform, "", "Address of the weight store", AnyAddress, &isAddress};
-const Setting<milliseconds> ListIntervalSetting{"instance-list-interval",
-                                                Platform,
-                                                milliseconds(1000),
-                                                "Time between reads of the instance list",
-                                                AnyDuration,
-                                                &isPositive};
+    "weight-store", Platform, "", "Address of the weight store", ExpectedAddress, &isAddress};
+const Setting<milliseconds> ListIntervalSetting{
+    "instance-list-interval", Platform,
+    milliseconds(1000),       "Interval between reads of the instance list",
+    ExpectedDuration,         &isPositive};
 
 const Setting<milliseconds> IdleSetting{
     "caller-idle-timeout", Callers,
-    milliseconds(60000),   "Time for a caller to send its next request",
-    AnyDuration,           &isPositive};
-const Setting<milliseconds> BodySetting{"caller-body-timeout", Callers,
-                                        milliseconds(15000),   "Time for a caller to send a body",
-                                        AnyDuration,           &isPositive};
-const Setting<milliseconds> WriteSetting{"caller-write-timeout",
-                                         Callers,
-                                         milliseconds(30000),
-                                         "Time for a caller to take what was written",
-                                         AnyDuration,
-                                         &isPositive};
+    milliseconds(60000),   "Idle time before a caller's connection is closed",
+    ExpectedDuration,      &isPositive};
+const Setting<milliseconds> BodySetting{
+    "caller-body-timeout", Callers,    milliseconds(15000), "Timeout for receiving a request body",
+    ExpectedDuration,      &isPositive};
+const Setting<milliseconds> WriteSetting{"caller-write-timeout", Callers,
+                                         milliseconds(30000),    "Timeout for writing to a caller",
+                                         ExpectedDuration,       &isPositive};
 const Setting<std::int64_t> BodyLimitSetting{
     "caller-body-limit",
     Callers,
     4194304,
-    "Bytes of a request's body",
+    "Largest size of a request's body in bytes",
     "a whole number from 1 to 8000000",
     [](const std::int64_t &v) { return v > 0 && v <= 8000000; }};
 const Setting<std::int64_t> ConnectionLimitSetting{"caller-connection-limit",
                                                    Callers,
                                                    20000,
-                                                   "Connections of callers at once",
+                                                   "Largest number of open caller connections",
                                                    "a whole number above 0",
                                                    [](const std::int64_t &v) { return v > 0; }};
 const Setting<milliseconds> AdviceSetting{
     "advice-lifetime",  Callers,
-    milliseconds(5000), "How long callers may keep the answer of /v1/entries",
-    AnyDuration,        &isPositive};
+    milliseconds(5000), "How long callers may cache the response of /v1/entries",
+    ExpectedDuration,   &isPositive};
 
 const Setting<milliseconds> SilenceSetting{
     "engine-silence-timeout",
     EndpointsPart,
     milliseconds(3000),
-    "Silence of an engine before a fresh connection is tried",
-    AnyDuration,
+    "Silence of an engine before the stream is resumed on a new connection",
+    ExpectedDuration,
     &isPositive};
 const Setting<milliseconds> ServiceTimeoutSetting{
-    "service-timeout",   EndpointsPart,
-    milliseconds(30000), "Longest wait for a plain service's answer",
-    AnyDuration,         &isPositive};
-const Setting<milliseconds> ConnectSetting{"endpoint-connect-timeout",
-                                           EndpointsPart,
-                                           milliseconds(1000),
-                                           "Time for a connection to an endpoint",
-                                           AnyDuration,
-                                           &isPositive};
+    "service-timeout", EndpointsPart, milliseconds(30000), "Timeout for a service's response",
+    ExpectedDuration,  &isPositive};
+const Setting<milliseconds> ConnectSetting{
+    "endpoint-connect-timeout", EndpointsPart,
+    milliseconds(1000),         "Timeout for connecting to an endpoint",
+    ExpectedDuration,           &isPositive};
 const Setting<milliseconds> CancelSetting{
     "cancel-timeout",   EndpointsPart,
-    milliseconds(1000), "Wait for an engine to confirm a cancellation",
-    AnyDuration,        &isPositive};
+    milliseconds(1000), "Timeout for an engine to confirm a cancellation",
+    ExpectedDuration,   &isPositive};
 const Setting<milliseconds> LoadSetting{
-    "load-interval", EndpointsPart, milliseconds(250), "Time between load reports of one endpoint",
-    AnyDuration,     &isPositive};
-const Setting<milliseconds> CacheSetting{"cache-event-interval",
-                                         EndpointsPart,
-                                         milliseconds(500),
-                                         "Time between reads of one engine's cache events",
-                                         AnyDuration,
-                                         &isPositive};
+    "load-interval",   EndpointsPart,
+    milliseconds(250), "Interval between reads of an endpoint's load report",
+    ExpectedDuration,  &isPositive};
+const Setting<milliseconds> CacheSetting{
+    "cache-event-interval", EndpointsPart,
+    milliseconds(500),      "Interval between reads of an engine's cache events",
+    ExpectedDuration,       &isPositive};
 
 const Setting<std::string> LogLevelSetting{
     "log-level",
     Logs,
     "info",
-    "Least level that is logged",
+    "Lowest level that is logged",
     "debug, info, warning, error or off",
     [](const std::string &v) { return Common::parseLogLevel(v).has_value(); }};
 const Setting<std::string> LogFormatSetting{
     "log-format",    Logs,
-    "human",         "Form of log lines",
+    "human",         "Format of log lines",
     "human or json", [](const std::string &v) { return v == "human" || v == "json"; }};
 
-const Setting<milliseconds> DrainNoticeSetting{
-    "drain-notice",
-    Shutdown,
-    milliseconds(6000),
-    "Time in which callers move away before connections are closed after their answer",
-    AnyDuration,
-    &isPositive};
+const Setting<milliseconds> DrainNoticeSetting{"drain-notice",
+                                               Shutdown,
+                                               milliseconds(6000),
+                                               "Time for callers to switch to other instances "
+                                               "before connections are closed after their response",
+                                               ExpectedDuration,
+                                               &isPositive};
 const Setting<milliseconds> DrainTimeoutSetting{
-    "drain-timeout", Shutdown,   milliseconds(120000), "Longest wait for requests in flight",
-    AnyDuration,     &isPositive};
+    "drain-timeout",      Shutdown,
+    milliseconds(120000), "Longest wait for requests in flight at shutdown",
+    ExpectedDuration,     &isPositive};
 
 const Setting<std::int64_t> ThreadsSetting{"threads",
                                            "process",
                                            2,
-                                           "Threads that serve requests",
+                                           "Number of threads that serve requests",
                                            "a whole number from 1 to 64",
                                            [](const std::int64_t &v) { return v > 0 && v <= 64; }};
 
@@ -165,7 +155,7 @@
     "routing-policy",
     DecisionsPart,
     "expected-cost",
-    "How an endpoint is chosen; all but the first are baselines that send at once",
+    "Policy for choosing an endpoint; all but the first are baselines that dispatch immediately",
     "expected-cost, round-robin, least-in-flight or random-of-two",
     [](const std::string &v) {
         return v == "expected-cost" || v == "round-robin" || v == "least-in-flight"
@@ -176,28 +166,28 @@
     "idempotency-key-lifetime",
     LedgerPart,
     std::chrono::duration_cast<milliseconds>(Ledger::LedgerOptions().keyLifetime),
-    "Time in which an idempotency key may be used for the first time",
-    AnyDuration,
+    "Time within which an idempotency key must first be used",
+    ExpectedDuration,
     &isPositive};
 const Setting<milliseconds> KeptAnswerSetting{
     "idempotency-answer-time",
     LedgerPart,
     std::chrono::duration_cast<milliseconds>(Ledger::LedgerOptions().keptAnswerTime),
-    "Time for which answers are kept for callers who ask again",
-    AnyDuration,
+    "Time for which responses are stored for repeated requests",
+    ExpectedDuration,
     &isPositive};
 const Setting<milliseconds> DuplicateWindowSetting{
     "duplicate-order-window",
     LedgerPart,
     std::chrono::duration_cast<milliseconds>(Ledger::LedgerOptions().duplicateWindow),
-    "Time in which the same order under a new key is asked about; 0ms never asks",
-    AnyDuration,
+    "Time in which the same order under a new key counts as a duplicate; 0ms disables the check",
+    ExpectedDuration,
     [](const milliseconds &v) { return v >= milliseconds(0); }};
 const Setting<std::int64_t> LedgerRecordsSetting{
     "idempotency-records",
     LedgerPart,
     static_cast<std::int64_t>(Ledger::LedgerOptions().maxRecords),
-    "Used keys that are remembered, about 0.3 KB each; when full, new keys are refused",
+    "Used keys that are remembered at most, about 0.3 KB each; when full, new keys are rejected",
     "a whole number from 1 to 10000000",
     [](const std::int64_t &v) { return v > 0 && v <= 10'000'000; }};
 
@@ -213,7 +203,7 @@
         return Decisions::baselineOptions(Decisions::RandomOfTwoPolicy{});
     }
     Decisions::SchedulerOptions options;
-    // A second try beside a running one is not carried out by the runner yet.
+    // CallRunner does not support hedged attempts yet.
     options.retry.hedgeAfter = 0;
     return options;
 }
--- a/Source/Core/Gateway/GatewayOptions.h
+++ b/Source/Core/Gateway/GatewayOptions.h
@@ -11,18 +11,18 @@
 
 namespace LaburnumChute::Gateway {
 
-/// All that a gateway instance is told by its settings.
+/// Options of a gateway instance, read from its settings.
 struct GatewayOptions
 {
     Common::InstanceId instance;
     Common::RegionName region;
     Common::FailureDomainName failureDomain;
-    /// Where to listen, "ip:port"; port 0 takes a free one.
+    /// Listen addresses, "ip:port"; port 0 picks a free port.
     std::string httpAddress;
     std::string operatorAddress;
     std::string gossipAddress;
     std::string channelAddress;
-    /// Services of the platform.
+    /// Addresses of the platform services.
     std::string configurationService;
     std::string instanceList;
     std::string weightStore;
@@ -46,10 +46,10 @@
     Ledger::LedgerOptions ledger;
 };
 
-/// Declares the settings of the verb "gateway".
+/// Declares the settings of the "gateway" command.
 void declareGatewaySettings(Common::Settings &settings);
 
-/// The options that the parsed settings give; an error names the setting that is missing or wrong.
+/// Converts the parsed settings to options; an error names the missing or invalid setting.
 Common::Result<GatewayOptions> readGatewayOptions(const Common::Settings &settings);
 
 } // namespace LaburnumChute::Gateway
