--- /dev/null
+++ b/Source/Core/Gateway/AsyncLedger.cpp
@@ -0,0 +1,88 @@
+#include "Gateway/AsyncLedger.h"
+
+namespace LaburnumChute::Gateway {
+
+namespace L = LaburnumChute::Ledger;
+
+AsyncLedger::AsyncLedger(asio::io_context &control, L::Ledger ledger)
+    : control_(control)
+    , ledger_(std::move(ledger))
+{
+}
+
+asio::awaitable<MintedKey> AsyncLedger::mint(const Common::CustomerName &customer)
+{
+    return run([customer](L::Ledger &ledger, Common::Time now) {
+        MintedKey minted;
+        minted.key = ledger.mint(customer, now);
+        if (minted.key) {
+            minted.lifetime = ledger.remainingLifetime(*minted.key, now);
+        }
+        return minted;
+    });
+}
+
+asio::awaitable<L::BeginOutcome> AsyncLedger::begin(const L::Submission &submission)
+{
+    return run([submission](L::Ledger &ledger, Common::Time now) {
+        return ledger.begin(submission, now);
+    });
+}
+
+asio::awaitable<Common::Result<L::Dispatch>> AsyncLedger::dispatched(const L::Attempt &attempt)
+{
+    return run(
+        [attempt](L::Ledger &ledger, Common::Time now) { return ledger.dispatched(attempt, now); });
+}
+
+asio::awaitable<Common::Result<void>> AsyncLedger::notStarted(const L::Dispatch &dispatch)
+{
+    return run([dispatch](L::Ledger &ledger, Common::Time now) {
+        return ledger.notStarted(dispatch, now);
+    });
+}
+
+asio::awaitable<Common::Result<void>>
+AsyncLedger::abandonedBeforeDispatch(const L::Attempt &attempt)
+{
+    return run([attempt](L::Ledger &ledger, Common::Time now) {
+        return ledger.abandonedBeforeDispatch(attempt, now);
+    });
+}
+
+asio::awaitable<Common::Result<void>> AsyncLedger::finished(const L::Dispatch &dispatch,
+                                                            const L::KeptAnswer &answer)
+{
+    return run([dispatch, answer](L::Ledger &ledger, Common::Time now) {
+        return ledger.finished(dispatch, answer, now);
+    });
+}
+
+asio::awaitable<Common::Result<void>> AsyncLedger::lost(const L::Dispatch &dispatch)
+{
+    return run(
+        [dispatch](L::Ledger &ledger, Common::Time now) { return ledger.lost(dispatch, now); });
+}
+
+asio::awaitable<L::KeyState> AsyncLedger::state(const L::IdempotencyKey &key)
+{
+    return run([key](L::Ledger &ledger, Common::Time now) { return ledger.state(key, now); });
+}
+
+asio::awaitable<Common::Result<void>> AsyncLedger::adopt(const L::Handover &handover)
+{
+    return run(
+        [handover](L::Ledger &ledger, Common::Time now) { return ledger.adopt(handover, now); });
+}
+
+asio::awaitable<Common::Result<void>> AsyncLedger::learn(const std::vector<L::DuplicateHint> &hints)
+{
+    return run([hints](L::Ledger &ledger, Common::Time now) {
+        for (const auto &hint : hints) {
+            ledger.learn(hint, now);
+        }
+        return Common::Result<void>();
+    });
+}
+
+} // namespace LaburnumChute::Gateway
--- a/Source/Core/Gateway/LedgerDesk.h
+++ b/Source/Core/Gateway/AsyncLedger.h
@@ -11,22 +11,22 @@
 
 namespace asio = boost::asio;
 
-/// A fresh idempotency key and how long it may be used.
+/// A new idempotency key and its remaining lifetime.
 struct MintedKey
 {
     Common::Result<Ledger::IdempotencyKey> key;
     Common::Duration lifetime{};
 };
 
-/// The one ledger of the instance, on the control context, asked from the threads of requests. Each
-/// function returns at once what is to be awaited; see Ledger::Ledger for what it does.
+/// Asynchronous, thread-safe access to the instance's ledger, which runs on the control context.
+/// See Ledger::Ledger for the operations.
 ///
-/// The functions are no coroutines themselves: gcc 12 destroys the captures of a closure twice when
-/// the closure is a temporary of a co_await expression.
-class LedgerDesk
+/// The functions are not coroutines themselves: gcc 12 destroys the captures of a closure twice if
+/// the closure is a temporary in a co_await expression.
+class AsyncLedger
 {
 public:
-    LedgerDesk(asio::io_context &control, Ledger::Ledger ledger);
+    AsyncLedger(asio::io_context &control, Ledger::Ledger ledger);
 
     asio::awaitable<MintedKey> mint(const Common::CustomerName &customer);
     asio::awaitable<Ledger::BeginOutcome> begin(const Ledger::Submission &submission);
@@ -51,8 +51,9 @@
     }
 
 private:
+    /// Calls the function with the ledger and the time on the control context.
     template <typename Function>
-    auto ask(Function function)
+    auto run(Function function)
     {
         return Async::runOn(control_, [this, function = std::move(function)]() mutable {
             return function(ledger_, std::chrono::steady_clock::now());
--- a/Source/Core/Gateway/CallPlan.cpp
+++ b/Source/Core/Gateway/CallPlan.cpp
@@ -9,14 +9,15 @@
 namespace C = LaburnumChute::Configuration;
 
 constexpr std::string_view ServicesPrefix = "/services/";
-constexpr Common::seconds ShortPatience{10};
-constexpr Common::seconds LongPatience{30};
-/// What a plain service's call counts for in tokens of work, for which it has no measure.
+constexpr Common::seconds ShortDeadline{10};
+constexpr Common::seconds LongDeadline{30};
+/// Work charged for a service call, which has no token count.
 constexpr std::int64_t ServiceWorkTokens = 1;
 
-/// Callers resend under one id. Inside the system and at the endpoints each arrival has an id of
-/// its own; else a resumed or cancelled stream could be another arrival's.
-Common::RequestId ownId(const Common::RequestId &callerId)
+/// Makes a unique id for use inside the system and at the endpoints. Callers resend a request under
+/// the same id; with that id alone, resuming or cancelling a stream could hit the stream of another
+/// submission.
+Common::RequestId makeInternalId(const Common::RequestId &callerId)
 {
     thread_local std::mt19937_64 generator{std::random_device{}()};
     return Common::RequestId(
@@ -34,14 +35,14 @@
 
 Decisions::Patience patienceOf(Common::Duration deadline)
 {
-    if (deadline <= ShortPatience) {
+    if (deadline <= ShortDeadline) {
         return Decisions::Patience::Short;
     }
-    return deadline >= LongPatience ? Decisions::Patience::Long : Decisions::Patience::Normal;
+    return deadline >= LongDeadline ? Decisions::Patience::Long : Decisions::Patience::Normal;
 }
 
-/// Headers that concern one connection or this gateway alone.
-bool isPassedOn(const Common::Header &header)
+/// False for hop-by-hop headers and headers that are addressed to the gateway itself.
+bool isForwardedHeader(const Common::Header &header)
 {
     static constexpr std::array<std::string_view, 13> Dropped = {"Connection",
                                                                  "Keep-Alive",
@@ -63,14 +64,14 @@
 
 std::vector<Common::RegionName> allowedRegions(const C::Configuration &configuration,
                                                const C::ResidencyRule &routeRule,
-                                               const C::ResidencyRule *narrower,
+                                               const C::ResidencyRule *requestRule,
                                                const Common::RegionName &callerHome)
 {
     std::vector<Common::RegionName> allowed;
     for (const auto &entry : configuration.tables().regions) {
         const auto &region = entry.first;
         if (routeRule.allows(callerHome, region)
-            && (narrower == nullptr || narrower->allows(callerHome, region))) {
+            && (requestRule == nullptr || requestRule->allows(callerHome, region))) {
             allowed.push_back(region);
         }
     }
@@ -79,7 +80,7 @@
 
 } // namespace
 
-/// A plan in the making, with what is needed only until it is done.
+/// A partially built plan, with data that is needed only while it is built.
 struct CallPlanner::Draft
 {
     CallPlan plan;
@@ -104,8 +105,8 @@
                              "Authorization: no customer has this token");
 }
 
-tl::expected<CallPlanner::Draft, Entry::Problem> CallPlanner::begin(const Arrival &arrival,
-                                                                    const RoutingTable &table) const
+tl::expected<CallPlanner::Draft, Entry::Problem>
+CallPlanner::createDraft(const IncomingRequest &incoming, const RoutingTable &table) const
 {
     if (!table.configuration) {
         auto problem = makeProblem(503, Common::ErrorCode::Unavailable,
@@ -113,15 +114,15 @@
         problem.retryAfter = Common::seconds(1);
         return tl::unexpected(std::move(problem));
     }
-    const auto headers = Entry::parseCallerHeaders(arrival.headers);
+    const auto headers = Entry::parseCallerHeaders(incoming.headers);
     if (!headers) {
         return tl::unexpected(Entry::problemOf(headers.error(), Common::RunState::NotRun));
     }
     Draft draft;
     draft.headers = *headers;
     draft.configuration = table.configuration.get();
-    const auto customer = arrival.forwarded
-                              ? Common::Result<Common::CustomerName>(arrival.forwarded->customer)
+    const auto customer = incoming.forwarded
+                              ? Common::Result<Common::CustomerName>(incoming.forwarded->customer)
                               : authenticate(*table.configuration, draft.headers);
     if (!customer) {
         return tl::unexpected(
@@ -133,38 +134,39 @@
                                           "the configuration has no customer " + customer->text()));
     }
     draft.plan.customer = *customer;
-    draft.plan.callerId = arrival.id;
-    draft.plan.method = arrival.method;
-    draft.plan.facts.id = ownId(arrival.id);
+    draft.plan.callerId = incoming.id;
+    draft.plan.method = incoming.method;
+    draft.plan.facts.id = makeInternalId(incoming.id);
     draft.plan.facts.customer = *customer;
     draft.plan.facts.supersedes = draft.headers.supersedes;
     draft.plan.facts.fingerprint =
-        Common::stableHash(arrival.body, Common::stableHash(arrival.target));
-    for (const auto &header : arrival.headers) {
-        if (isPassedOn(header)) {
+        Common::stableHash(incoming.body, Common::stableHash(incoming.target));
+    for (const auto &header : incoming.headers) {
+        if (isForwardedHeader(header)) {
             draft.plan.headers.push_back(header);
         }
     }
     return draft;
 }
 
-tl::expected<void, Entry::Problem> CallPlanner::applyRoute(Draft &draft, const Arrival &arrival,
+tl::expected<void, Entry::Problem> CallPlanner::applyRoute(Draft &draft,
+                                                           const IncomingRequest &incoming,
                                                            const C::Route &route, bool repeatable,
                                                            Common::Time now) const
 {
     const auto &configuration = *draft.configuration;
     auto &plan = draft.plan;
     auto &facts = plan.facts;
-    const auto wantedRule = draft.headers.residency
-                                ? std::optional(C::ResidencyRuleName(*draft.headers.residency))
-                                : draft.customer->defaultResidency;
-    const auto *narrower = wantedRule ? configuration.residencyRule(*wantedRule) : nullptr;
-    if (wantedRule && narrower == nullptr) {
+    const auto requestedRule = draft.headers.residency
+                                   ? std::optional(C::ResidencyRuleName(*draft.headers.residency))
+                                   : draft.customer->defaultResidency;
+    const auto *requestRule = requestedRule ? configuration.residencyRule(*requestedRule) : nullptr;
+    if (requestedRule && requestRule == nullptr) {
         return tl::unexpected(makeProblem(400, Common::ErrorCode::InvalidArgument,
                                           "Laburnumchute-Residency: there is no rule \""
-                                              + wantedRule->text() + "\""));
+                                              + requestedRule->text() + "\""));
     }
-    const auto entryRegion = arrival.forwarded ? arrival.forwarded->fromRegion : home_;
+    const auto entryRegion = incoming.forwarded ? incoming.forwarded->fromRegion : home_;
     const auto callerHome = draft.headers.homeRegion.value_or(entryRegion);
     if (configuration.region(callerHome) == nullptr) {
         return tl::unexpected(makeProblem(400, Common::ErrorCode::InvalidArgument,
@@ -172,8 +174,8 @@
                                               + callerHome.text() + "\""));
     }
     facts.allowedRegions = allowedRegions(
-        configuration, *configuration.residencyRule(route.residency), narrower, callerHome);
-    facts.arrivedFrom = arrival.forwarded ? arrival.forwarded->fromRegion : Common::RegionName();
+        configuration, *configuration.residencyRule(route.residency), requestRule, callerHome);
+    facts.arrivedFrom = incoming.forwarded ? incoming.forwarded->fromRegion : Common::RegionName();
 
     const auto priorityName =
         draft.headers.priority ? C::PriorityName(*draft.headers.priority) : route.priority;
@@ -187,8 +189,8 @@
     facts.priority = std::max(priority->level, highest != nullptr ? highest->level : 0);
 
     auto wait = draft.headers.deadline ? Common::Duration(*draft.headers.deadline) : route.deadline;
-    if (arrival.forwarded && arrival.forwarded->deadlineMs) {
-        wait = Common::milliseconds(*arrival.forwarded->deadlineMs);
+    if (incoming.forwarded && incoming.forwarded->deadlineMs) {
+        wait = Common::milliseconds(*incoming.forwarded->deadlineMs);
     }
     plan.deadline = now + wait;
     facts.deadline = plan.deadline;
@@ -196,34 +198,35 @@
 
     facts.repeatable = repeatable && draft.headers.repeatable.value_or(true);
     if (!facts.repeatable) {
-        const auto place = arrival.method + " " + arrival.target;
-        const auto body = Common::stableHash(arrival.body, Common::stableHash(place));
-        const auto order = Common::stableHash(plan.customer.text(), body);
-        plan.once = OncePlan{draft.headers.idempotencyKey.value_or(""), body, order,
-                             draft.headers.allowDuplicate};
+        const auto methodAndTarget = incoming.method + " " + incoming.target;
+        const auto bodyFingerprint =
+            Common::stableHash(incoming.body, Common::stableHash(methodAndTarget));
+        const auto orderFingerprint = Common::stableHash(plan.customer.text(), bodyFingerprint);
+        plan.atMostOnce = AtMostOncePlan{draft.headers.idempotencyKey.value_or(""), bodyFingerprint,
+                                         orderFingerprint, draft.headers.allowDuplicate};
     }
     return {};
 }
 
-PlanResult CallPlanner::planModelCall(Entry::ModelCallKind kind, const Arrival &arrival,
+PlanResult CallPlanner::planModelCall(Entry::ModelCallKind kind, const IncomingRequest &incoming,
                                       const RoutingTable &table, Common::Time now) const
 {
-    auto draft = begin(arrival, table);
+    auto draft = createDraft(incoming, table);
     if (!draft) {
         return tl::unexpected(draft.error());
     }
-    const auto call = Entry::parseModelCall(kind, arrival.body);
+    const auto call = Entry::parseModelCall(kind, incoming.body);
     if (!call) {
         return tl::unexpected(Entry::problemOf(call.error(), Common::RunState::NotRun));
     }
-    const auto path = arrival.target.substr(0, arrival.target.find('?'));
+    const auto path = incoming.target.substr(0, incoming.target.find('?'));
     const auto *route = draft->configuration->route(path, call->model);
     if (route == nullptr) {
         return tl::unexpected(makeProblem(404, Common::ErrorCode::NotFound,
                                           "/model: there is no route to the model \""
                                               + call->model.text() + "\" on this path"));
     }
-    const auto applied = applyRoute(*draft, arrival, *route, route->repeatable, now);
+    const auto applied = applyRoute(*draft, incoming, *route, route->repeatable, now);
     if (!applied) {
         return tl::unexpected(applied.error());
     }
@@ -232,7 +235,7 @@
     plan.stream = call->stream;
     plan.facts.continuable = plan.facts.repeatable;
     plan.target = path;
-    plan.body = Entry::engineBody(arrival.body, plan.facts.priority);
+    plan.body = Entry::engineBody(incoming.body, plan.facts.priority);
     plan.facts.target = Decisions::Target::model(call->model, call->adapter);
     plan.facts.promptTokens = Entry::tokenCount(call->promptText);
     plan.facts.expectedOutputTokens = call->maxTokens;
@@ -240,14 +243,14 @@
     return std::move(plan);
 }
 
-PlanResult CallPlanner::planServiceCall(const Arrival &arrival, const RoutingTable &table,
+PlanResult CallPlanner::planServiceCall(const IncomingRequest &incoming, const RoutingTable &table,
                                         Common::Time now) const
 {
-    auto draft = begin(arrival, table);
+    auto draft = createDraft(incoming, table);
     if (!draft) {
         return tl::unexpected(draft.error());
     }
-    const auto rest = arrival.target.substr(ServicesPrefix.size());
+    const auto rest = incoming.target.substr(ServicesPrefix.size());
     const auto slash = std::min(rest.find('/'), rest.size());
     const Common::ServiceName service(rest.substr(0, slash));
     const auto servicePath = slash == rest.size() ? std::string("/") : rest.substr(slash);
@@ -258,14 +261,14 @@
                                           "there is no route to this path of the service \""
                                               + service.text() + "\""));
     }
-    const bool repeatable = draft->configuration->isRepeatable(*route, arrival.method, pathOnly);
-    const auto applied = applyRoute(*draft, arrival, *route, repeatable, now);
+    const bool repeatable = draft->configuration->isRepeatable(*route, incoming.method, pathOnly);
+    const auto applied = applyRoute(*draft, incoming, *route, repeatable, now);
     if (!applied) {
         return tl::unexpected(applied.error());
     }
     auto &plan = draft->plan;
     plan.target = servicePath;
-    plan.body = arrival.body;
+    plan.body = incoming.body;
     plan.facts.target = Decisions::Target::service(service);
     plan.facts.expectedOutputTokens = ServiceWorkTokens;
     return std::move(plan);
--- a/Source/Core/Gateway/CallPlan.h
+++ b/Source/Core/Gateway/CallPlan.h
@@ -13,59 +13,59 @@
 
 namespace LaburnumChute::Gateway {
 
-/// A request as it arrived, from a caller or over the channel.
-struct Arrival
+/// A request received from a caller or, over the peer channel, from another instance.
+struct IncomingRequest
 {
     Common::RequestId id;
     std::string method;
     std::string target;
     Common::Headers headers;
     std::string body;
-    /// Set for a request that another instance forwarded.
+    /// Set if another instance forwarded the request.
     std::optional<Peers::ForwardedRequest> forwarded;
 };
 
-/// What makes a request one that must not run twice.
-struct OncePlan
+/// Data for the at-most-once execution of a request that is not repeatable.
+struct AtMostOncePlan
 {
-    /// The key as sent; empty when there is none.
+    /// The idempotency key as the caller sent it; empty if there is none.
     std::string key;
-    /// Over method, target and body.
+    /// Hash of method, target and body.
     std::uint64_t bodyFingerprint = 0;
-    /// Over customer, target and body.
+    /// Hash of customer, method, target and body.
     std::uint64_t orderFingerprint = 0;
     bool duplicateIntended = false;
 };
 
-/// What is to be done with a request, found from the configuration and the request alone.
+/// How to process a request, derived from the configuration and the request alone.
 struct CallPlan
 {
     Decisions::RequestFacts facts;
-    /// The id that the caller knows.
+    /// The request id that the caller knows.
     Common::RequestId callerId;
     Common::CustomerName customer;
     /// Set for model calls.
     std::optional<Entry::ModelCallKind> model;
-    /// The caller wants a stream.
+    /// The caller asked for a streamed response.
     bool stream = false;
     std::string method;
     std::string target;
     std::string body;
-    /// Headers that are passed on.
+    /// Headers to forward to the endpoint.
     Common::Headers headers;
     /// Set for a request that is not repeatable.
-    std::optional<OncePlan> once;
-    /// The time by which the caller wants the first byte.
+    std::optional<AtMostOncePlan> atMostOnce;
+    /// Deadline for the first byte of the response.
     Common::Time deadline;
 };
 
 using PlanResult = tl::expected<CallPlan, Entry::Problem>;
 
-/// Who sends the request; an error is answered with 401.
+/// Returns the customer that sent the request. Callers of this function answer an error with 401.
 Common::Result<Common::CustomerName> authenticate(const Configuration::Configuration &configuration,
                                                   const Entry::CallerHeaders &headers);
 
-/// Plans requests of one instance.
+/// Builds the call plans of an instance.
 class CallPlanner
 {
 public:
@@ -74,17 +74,17 @@
     {
     }
 
-    PlanResult planModelCall(Entry::ModelCallKind kind, const Arrival &arrival,
+    PlanResult planModelCall(Entry::ModelCallKind kind, const IncomingRequest &incoming,
                              const RoutingTable &table, Common::Time now) const;
-    PlanResult planServiceCall(const Arrival &arrival, const RoutingTable &table,
+    PlanResult planServiceCall(const IncomingRequest &incoming, const RoutingTable &table,
                                Common::Time now) const;
 
 private:
     struct Draft;
 
-    tl::expected<Draft, Entry::Problem> begin(const Arrival &arrival,
-                                              const RoutingTable &table) const;
-    tl::expected<void, Entry::Problem> applyRoute(Draft &draft, const Arrival &arrival,
+    tl::expected<Draft, Entry::Problem> createDraft(const IncomingRequest &incoming,
+                                                    const RoutingTable &table) const;
+    tl::expected<void, Entry::Problem> applyRoute(Draft &draft, const IncomingRequest &incoming,
                                                   const Configuration::Route &route,
                                                   bool repeatable, Common::Time now) const;
 
--- a/Source/Core/Gateway/CallProblems.cpp
+++ b/Source/Core/Gateway/CallProblems.cpp
@@ -82,15 +82,15 @@
     return problem;
 }
 
-Entry::Problem onceProblem(const L::Refused &refused)
+Entry::Problem ledgerProblem(const L::Refused &rejection)
 {
     Entry::Problem problem;
-    problem.status = statusOf(refused.reason);
+    problem.status = statusOf(rejection.reason);
     problem.code = Common::ErrorCode::Conflict;
-    problem.detail = "Idempotency-Key: " + std::string(L::toString(refused.reason));
-    problem.run = refused.run;
-    if (refused.earlierKey) {
-        problem.extra["earlier_idempotency_key"] = refused.earlierKey->text();
+    problem.detail = "Idempotency-Key: " + std::string(L::toString(rejection.reason));
+    problem.run = rejection.run;
+    if (rejection.earlierKey) {
+        problem.extra["earlier_idempotency_key"] = rejection.earlierKey->text();
     }
     if (problem.status == 503) {
         problem.retryAfter = Common::seconds(1);
@@ -98,15 +98,15 @@
     return problem;
 }
 
-Entry::Problem refusalProblem(const D::Refuse &refusal)
+Entry::Problem rejectionProblem(const D::Refuse &rejection)
 {
     Entry::Problem problem;
-    problem.status = statusOf(refusal.reason);
-    problem.code = codeOf(refusal.reason);
-    problem.detail = std::string(D::toString(refusal.reason));
-    problem.run = refusal.run;
-    if (refusal.retryAfter > Common::Duration::zero()) {
-        problem.retryAfter = refusal.retryAfter;
+    problem.status = statusOf(rejection.reason);
+    problem.code = codeOf(rejection.reason);
+    problem.detail = std::string(D::toString(rejection.reason));
+    problem.run = rejection.run;
+    if (rejection.retryAfter > Common::Duration::zero()) {
+        problem.retryAfter = rejection.retryAfter;
     }
     return problem;
 }
--- a/Source/Core/Gateway/CallProblems.h
+++ b/Source/Core/Gateway/CallProblems.h
@@ -7,13 +7,13 @@
 
 namespace LaburnumChute::Gateway {
 
-/// The problem document for a refusal of the scheduler.
-Entry::Problem refusalProblem(const Decisions::Refuse &refusal);
+/// The problem document for a rejection by the scheduler.
+Entry::Problem rejectionProblem(const Decisions::Refuse &rejection);
 
-/// The problem document for a refusal of the ledger.
-Entry::Problem onceProblem(const Ledger::Refused &refused);
+/// The problem document for a rejection by the ledger.
+Entry::Problem ledgerProblem(const Ledger::Refused &rejection);
 
-/// The problem document for a failure that another instance reports.
+/// The problem document for a failure reported by another instance.
 Entry::Problem problemOf(const Peers::AnswerFailure &failure);
 
 } // namespace LaburnumChute::Gateway
--- a/Source/Core/Gateway/CallRunner.cpp
+++ b/Source/Core/Gateway/CallRunner.cpp
@@ -35,8 +35,8 @@
                                  {{"end", "completed"}}))
     , cancelled(registry.counter("laburnumchute_requests_total", "Requests by how they ended",
                                  {{"end", "cancelled"}}))
-    , refused(registry.counter("laburnumchute_requests_total", "Requests by how they ended",
-                               {{"end", "refused"}}))
+    , rejected(registry.counter("laburnumchute_requests_total", "Requests by how they ended",
+                                {{"end", "refused"}}))
     , failed(registry.counter("laburnumchute_requests_total", "Requests by how they ended",
                               {{"end", "failed"}}))
     , cancelsConfirmed(registry.counter("laburnumchute_engine_cancels_total",
@@ -46,19 +46,19 @@
                                           {{"confirmed", "false"}}))
     , resumptions(registry.counter("laburnumchute_stream_resumptions_total",
                                    "Streams continued on a fresh connection"))
-    , away(registry.counter("laburnumchute_requests_away_total",
-                            "Requests sent away from their home region"))
+    , forwardedToRegion(registry.counter("laburnumchute_requests_away_total",
+                                         "Requests sent away from their home region"))
     , firstToken(registry.histogram("laburnumchute_first_token_seconds",
                                     "Time from a request's arrival to its first answer byte"))
 {
 }
 
 CallRunner::CallRunner(const RunnerContext &context,
-                       std::shared_ptr<Endpoints::ConnectionPool> pool, Arrival arrival,
+                       std::shared_ptr<Endpoints::ConnectionPool> pool, IncomingRequest incoming,
                        CallPlan plan, Responder responder)
     : context_(context)
     , pool_(std::move(pool))
-    , arrival_(std::move(arrival))
+    , incoming_(std::move(incoming))
     , plan_(std::move(plan))
     , responder_(std::move(responder))
     , table_(context.table.share())
@@ -69,27 +69,27 @@
 asio::awaitable<void> CallRunner::run()
 {
     const auto self = shared_from_this();
-    responder_.onGone([weak = weak_from_this()] {
+    responder_.onDisconnect([weak = weak_from_this()] {
         if (const auto runner = weak.lock()) {
-            runner->callerGone();
+            runner->onCallerDisconnected();
         }
     });
-    if (plan_.once && !heldBySender()) {
-        const bool proceed = co_await beginOnce();
+    if (plan_.atMostOnce && !keyHeldBySender()) {
+        const bool proceed = co_await claimKey();
         if (!proceed) {
             co_return;
         }
     }
     const auto executor = co_await asio::this_coro::executor;
-    const Dispatcher::Decisions decisions(executor);
-    ticket_ = context_.dispatcher.submit({plan_.facts, plan_.callerId}, decisions, executor,
-                                         [weak = weak_from_this()] {
-                                             if (const auto runner = weak.lock()) {
-                                                 runner->withdraw();
-                                             }
-                                         });
-    if (callerGone_) {
-        ticket_->cancel();
+    const Dispatcher::DecisionQueue decisions(executor);
+    registration_ = context_.dispatcher.submit({plan_.facts, plan_.callerId}, decisions, executor,
+                                               [weak = weak_from_this()] {
+                                                   if (const auto runner = weak.lock()) {
+                                                       runner->withdraw();
+                                                   }
+                                               });
+    if (callerDisconnected_) {
+        registration_->cancel();
     }
     auto step = Step::Continue;
     while (step == Step::Continue) {
@@ -99,8 +99,8 @@
     co_await releaseKey();
 }
 
-/// Before a refusal says "not run": a caller who submits again at once would otherwise meet its own
-/// attempt, which still holds the key, and be told "unknown".
+/// Runs before the caller is told "not run". Otherwise an immediate resubmission by the caller
+/// would find the key still held by its first attempt and be answered "unknown".
 asio::awaitable<void> CallRunner::releaseKey()
 {
     if (ledgerAttempt_ && !ledgerDispatch_) {
@@ -115,39 +115,40 @@
         co_return co_await runAtEndpoint(*dispatch);
     }
     if (const auto *forward = std::get_if<D::Forward>(&effect)) {
-        co_return co_await runAtRegion(*forward);
+        co_return co_await forwardToRegion(*forward);
     }
-    if (const auto *refusal = std::get_if<D::Refuse>(&effect)) {
+    if (const auto *rejection = std::get_if<D::Refuse>(&effect)) {
         co_await releaseKey();
-        co_await refuse(*refusal);
+        co_await reject(*rejection);
         co_return Step::Ended;
     }
-    // Dropped: the caller has left, or has replaced this request by another one.
+    // Dropped: the caller disconnected or superseded this request.
     co_await releaseKey();
     context_.metrics.cancelled.add();
-    if (!callerGone_) {
+    if (!callerDisconnected_) {
         Entry::Problem problem;
         problem.status = 409;
         problem.code = Common::ErrorCode::Cancelled;
         problem.detail = "a later request has superseded this one";
-        co_await answerProblem(std::move(problem));
+        co_await sendProblem(std::move(problem));
     }
     co_return Step::Ended;
 }
 
-asio::awaitable<bool> CallRunner::beginOnce()
+asio::awaitable<bool> CallRunner::claimKey()
 {
-    const auto key = L::IdempotencyKey::parse(plan_.once->key);
+    const auto key = L::IdempotencyKey::parse(plan_.atMostOnce->key);
     if (!key) {
-        co_await offerKey("the request is not repeatable and needs a key that this system issued");
+        co_await sendKeyRequired(
+            "the request is not repeatable and needs a key that this system issued");
         co_return false;
     }
     L::Submission submission;
     submission.key = *key;
     submission.customer = plan_.customer;
-    submission.bodyFingerprint = plan_.once->bodyFingerprint;
-    submission.orderFingerprint = plan_.once->orderFingerprint;
-    submission.duplicateIntended = plan_.once->duplicateIntended;
+    submission.bodyFingerprint = plan_.atMostOnce->bodyFingerprint;
+    submission.orderFingerprint = plan_.atMostOnce->orderFingerprint;
+    submission.duplicateIntended = plan_.atMostOnce->duplicateIntended;
     submission.deadline = plan_.deadline;
     const auto outcome = co_await context_.ledger.begin(submission);
     if (const auto *proceed = std::get_if<L::Proceed>(&outcome)) {
@@ -157,8 +158,8 @@
     if (const auto *replay = std::get_if<L::ReplayAnswer>(&outcome)) {
         Common::Headers headers = {{"Content-Type", replay->answer->contentType},
                                    {"Laburnumchute-Replayed", "true"}};
-        co_await responder_.whole(static_cast<unsigned>(replay->answer->status), std::move(headers),
-                                  replay->answer->body);
+        co_await responder_.sendWhole(static_cast<unsigned>(replay->answer->status),
+                                      std::move(headers), replay->answer->body);
     } else if (std::holds_alternative<L::StillRunning>(outcome)) {
         Entry::Problem problem;
         problem.status = 409;
@@ -166,16 +167,16 @@
         problem.detail = "a request with this key is still running";
         problem.run = Common::RunState::Unknown;
         problem.retryAfter = Common::seconds(1);
-        co_await answerProblem(std::move(problem));
-    } else if (const auto *refused = std::get_if<L::Refused>(&outcome)) {
-        co_await answerProblem(onceProblem(*refused));
+        co_await sendProblem(std::move(problem));
+    } else if (const auto *ledgerRejection = std::get_if<L::Refused>(&outcome)) {
+        co_await sendProblem(ledgerProblem(*ledgerRejection));
     } else {
-        co_await runAtOwner(std::get<L::OwnedElsewhere>(outcome));
+        co_await forwardToOwner(std::get<L::OwnedElsewhere>(outcome));
     }
     co_return false;
 }
 
-asio::awaitable<void> CallRunner::offerKey(std::string detail)
+asio::awaitable<void> CallRunner::sendKeyRequired(std::string detail)
 {
     const auto minted = co_await context_.ledger.mint(plan_.customer);
     Entry::Problem problem;
@@ -185,21 +186,21 @@
     if (minted.key) {
         problem.extra["idempotency_key"] = minted.key->text();
     }
-    co_await answerProblem(std::move(problem));
+    co_await sendProblem(std::move(problem));
 }
 
-asio::awaitable<void> CallRunner::answerProblem(Entry::Problem problem)
+asio::awaitable<void> CallRunner::sendProblem(Entry::Problem problem)
 {
     logRequest(Common::LogLevel::Info, plan_.callerId,
-               fmt::format("answered {} ({}): {}", problem.status, Common::toString(problem.run),
-                           problem.detail));
-    co_await responder_.problem(std::move(problem));
+               fmt::format("responded with status {} ({}): {}", problem.status,
+                           Common::toString(problem.run), problem.detail));
+    co_await responder_.sendProblem(std::move(problem));
 }
 
-asio::awaitable<void> CallRunner::refuse(const D::Refuse &refusal)
+asio::awaitable<void> CallRunner::reject(const D::Refuse &rejection)
 {
-    context_.metrics.refused.add();
-    co_await answerProblem(refusalProblem(refusal));
+    context_.metrics.rejected.add();
+    co_await sendProblem(rejectionProblem(rejection));
 }
 
 Endpoints::EndpointRequest CallRunner::endpointRequest(const EndpointEntry &endpoint) const
@@ -211,8 +212,8 @@
     request.method = plan_.method;
     request.target = plan_.target;
     request.headers = plan_.headers;
-    if (plan_.once) {
-        request.headers.push_back({"Idempotency-Key", plan_.once->key});
+    if (plan_.atMostOnce) {
+        request.headers.push_back({"Idempotency-Key", plan_.atMostOnce->key});
     }
     request.body = plan_.body;
     request.eventStream = plan_.model.has_value();
@@ -220,12 +221,12 @@
     return request;
 }
 
-bool CallRunner::heldBySender() const
+bool CallRunner::keyHeldBySender() const
 {
-    return arrival_.forwarded && arrival_.forwarded->once == Peers::OnceRole::HeldBySender;
+    return incoming_.forwarded && incoming_.forwarded->once == Peers::OnceRole::HeldBySender;
 }
 
-asio::awaitable<bool> CallRunner::permitOnce(const Common::EndpointId &endpoint)
+asio::awaitable<bool> CallRunner::permitDispatch(const Common::EndpointId &endpoint)
 {
     Common::Result<void> permitted;
     if (ledgerAttempt_) {
@@ -236,24 +237,24 @@
             ledgerAttempt_.reset();
             permitted = tl::unexpected(dispatch.error());
         }
-    } else if (heldBySender() && std::chrono::steady_clock::now() > plan_.deadline) {
-        // This process was paused while the request waited; its caller has long been told that the
-        // outcome is unknown.
+    } else if (keyHeldBySender() && std::chrono::steady_clock::now() > plan_.deadline) {
+        // This process was paused while the request waited; the sender has already told the caller
+        // that the outcome is unknown.
         permitted = Common::makeError(Common::ErrorCode::DeadlineExceeded,
                                       "the deadline passed before the request began");
     }
     if (!permitted) {
-        ticket_->finished(endpoint, D::Outcome::Cancelled);
-        co_await answerProblem(Entry::problemOf(permitted.error(), Common::RunState::NotRun));
+        registration_->finished(endpoint, D::Outcome::Cancelled);
+        co_await sendProblem(Entry::problemOf(permitted.error(), Common::RunState::NotRun));
         co_return false;
     }
-    runsOnce_ = plan_.once.has_value();
+    atMostOnceDispatched_ = plan_.atMostOnce.has_value();
     co_return true;
 }
 
 asio::awaitable<void> CallRunner::recordFailure(bool notRun)
 {
-    runsOnce_ = runsOnce_ && !notRun;
+    atMostOnceDispatched_ = atMostOnceDispatched_ && !notRun;
     if (!ledgerDispatch_) {
         co_return;
     }
@@ -270,11 +271,12 @@
     const auto &endpoint = dispatch.endpoint;
     const auto table = context_.table.share();
     const auto found = table->endpoints.find(endpoint);
-    if (found == table->endpoints.end() || (callerGone_ && mayAbandon())) {
-        ticket_->finished(endpoint, callerGone_ ? D::Outcome::Cancelled : D::Outcome::NotStarted);
-        co_return callerGone_ ? Step::Ended : Step::Continue;
+    if (found == table->endpoints.end() || (callerDisconnected_ && mayAbort())) {
+        registration_->finished(endpoint, callerDisconnected_ ? D::Outcome::Cancelled
+                                                              : D::Outcome::NotStarted);
+        co_return callerDisconnected_ ? Step::Ended : Step::Continue;
     }
-    const bool permitted = co_await permitOnce(endpoint);
+    const bool permitted = co_await permitDispatch(endpoint);
     if (!permitted) {
         co_return Step::Ended;
     }
@@ -289,21 +291,21 @@
         failure.message = fmt::format("{} answered {}", endpoint, head->status);
         co_return co_await endpointFailed(std::move(failure), endpoint);
     }
-    co_return co_await passAnswer(std::move(*head), endpoint);
+    co_return co_await relayResponse(std::move(*head), endpoint);
 }
 
-asio::awaitable<CallRunner::Step> CallRunner::passAnswer(Endpoints::ResponseHead head,
-                                                         const Common::EndpointId &endpoint)
+asio::awaitable<CallRunner::Step> CallRunner::relayResponse(Endpoints::ResponseHead head,
+                                                            const Common::EndpointId &endpoint)
 {
     const bool isStream = head.header("Content-Type").rfind("text/event-stream", 0) == 0;
     if (plan_.model && isStream && !plan_.stream) {
-        whole_.emplace(*plan_.model);
+        wholeAnswer_.emplace(*plan_.model);
     }
     if (plan_.model && isStream && plan_.stream && !continuation_) {
         continuation_.emplace();
     }
-    kept_ = {static_cast<int>(head.status), head.header("Content-Type"), {}};
-    std::uint64_t reported = 0;
+    recordedAnswer_ = {static_cast<int>(head.status), head.header("Content-Type"), {}};
+    std::uint64_t reportedEvents = 0;
     while (true) {
         auto piece = co_await stream_->next();
         if (!piece) {
@@ -311,32 +313,32 @@
         }
         if (!firstTokenSeen_) {
             firstTokenSeen_ = true;
-            ticket_->firstToken(endpoint);
+            registration_->firstToken(endpoint);
             context_.metrics.firstToken.record(std::chrono::steady_clock::now() - startedAt_);
         }
-        if (!responder_.started() && !callerGone_) {
-            co_await sendHead(head);
+        if (!responder_.started() && !callerDisconnected_) {
+            co_await relayHead(head);
         }
         if (piece->last) {
             co_return co_await completeAtEndpoint(endpoint);
         }
-        constexpr std::uint64_t ReportEvery = 32;
-        if (stream_->events() >= reported + ReportEvery) {
-            reported = stream_->events();
-            ticket_->progress(endpoint, static_cast<std::int64_t>(reported));
+        constexpr std::uint64_t ProgressReportEvents = 32;
+        if (stream_->events() >= reportedEvents + ProgressReportEvents) {
+            reportedEvents = stream_->events();
+            registration_->progress(endpoint, static_cast<std::int64_t>(reportedEvents));
         }
-        const auto passed = co_await passPiece(std::move(piece->bytes));
+        const auto passed = co_await relayPiece(std::move(piece->bytes));
         if (!passed) {
             stream_->abort();
-            cancelRemotely();
-            co_return co_await brokenOff(endpoint, passed.error().message);
+            cancelGeneration();
+            co_return co_await failIncompleteResponse(endpoint, passed.error().message);
         }
     }
 }
 
-asio::awaitable<bool> CallRunner::sendHead(const Endpoints::ResponseHead &head)
+asio::awaitable<bool> CallRunner::relayHead(const Endpoints::ResponseHead &head)
 {
-    if (whole_) {
+    if (wholeAnswer_) {
         co_return true;
     }
     Common::Headers headers;
@@ -350,54 +352,54 @@
             headers.push_back(header);
         }
     }
-    co_return co_await responder_.head(head.status, std::move(headers));
+    co_return co_await responder_.sendHead(head.status, std::move(headers));
 }
 
-asio::awaitable<Common::Result<void>> CallRunner::passPiece(std::string bytes)
+asio::awaitable<Common::Result<void>> CallRunner::relayPiece(std::string bytes)
 {
     if (ledgerDispatch_) {
-        kept_.body += bytes;
+        recordedAnswer_.body += bytes;
     }
-    if (whole_) {
-        co_return whole_->feed(bytes);
+    if (wholeAnswer_) {
+        co_return wholeAnswer_->feed(bytes);
     }
     if (continuation_) {
-        auto fresh = continuation_->feed(bytes);
-        if (!fresh) {
-            co_return tl::unexpected(fresh.error());
+        auto newBytes = continuation_->feed(bytes);
+        if (!newBytes) {
+            co_return tl::unexpected(newBytes.error());
         }
-        bytes = std::move(*fresh);
+        bytes = std::move(*newBytes);
     }
-    if (!callerGone_ && !bytes.empty()) {
-        co_await responder_.piece(std::move(bytes));
+    if (!callerDisconnected_ && !bytes.empty()) {
+        co_await responder_.sendPiece(std::move(bytes));
     }
     co_return Common::Result<void>();
 }
 
-asio::awaitable<bool> CallRunner::sendEnd()
+asio::awaitable<bool> CallRunner::relayEnd()
 {
-    if (callerGone_) {
+    if (callerDisconnected_) {
         co_return false;
     }
-    if (whole_) {
+    if (wholeAnswer_) {
         Common::Headers headers = {{"Content-Type", "application/json"}};
-        co_return co_await responder_.whole(200, std::move(headers), whole_->body());
+        co_return co_await responder_.sendWhole(200, std::move(headers), wholeAnswer_->body());
     }
-    co_return co_await responder_.end();
+    co_return co_await responder_.sendEnd();
 }
 
 asio::awaitable<CallRunner::Step> CallRunner::completeAtEndpoint(const Common::EndpointId &endpoint)
 {
     context_.metrics.resumptions.add(static_cast<std::uint64_t>(stream_->resumptions()));
-    ticket_->finished(endpoint, D::Outcome::Completed);
+    registration_->finished(endpoint, D::Outcome::Completed);
     if (ledgerDispatch_) {
-        if (whole_) {
-            kept_.contentType = "application/json";
-            kept_.body = whole_->body();
+        if (wholeAnswer_) {
+            recordedAnswer_.contentType = "application/json";
+            recordedAnswer_.body = wholeAnswer_->body();
         }
-        co_await context_.ledger.finished(*ledgerDispatch_, kept_);
+        co_await context_.ledger.finished(*ledgerDispatch_, recordedAnswer_);
     }
-    const bool delivered = co_await sendEnd();
+    const bool delivered = co_await relayEnd();
     (delivered ? context_.metrics.completed : context_.metrics.cancelled).add();
     co_return Step::Ended;
 }
@@ -409,40 +411,41 @@
     const bool notRun = failure.runState == Common::RunState::NotRun;
     co_await recordFailure(notRun);
     if (stream_->aborted()) {
-        ticket_->finished(endpoint, D::Outcome::Cancelled);
-        co_return co_await answerWithdrawn();
+        registration_->finished(endpoint, D::Outcome::Cancelled);
+        co_return co_await sendWithdrawnProblem();
     }
     logRequest(Common::LogLevel::Warning, plan_.callerId,
-               fmt::format("failed on {} ({}): {}", endpoint, Common::toString(failure.runState),
-                           failure.message));
-    if (callerGone_ || withdrawn_ || (responder_.started() && !continuation_)) {
-        co_return co_await brokenOff(endpoint, failure.message);
+               fmt::format("attempt at {} failed ({}): {}", endpoint,
+                           Common::toString(failure.runState), failure.message));
+    if (callerDisconnected_ || withdrawn_ || (responder_.started() && !continuation_)) {
+        co_return co_await failIncompleteResponse(endpoint, failure.message);
     }
-    whole_.reset();
+    wholeAnswer_.reset();
     if (continuation_) {
         continuation_->restart();
     }
-    ticket_->finished(endpoint, outcomeOf(failure));
+    registration_->finished(endpoint, outcomeOf(failure));
     co_return Step::Continue;
 }
 
-asio::awaitable<CallRunner::Step> CallRunner::brokenOff(const Common::EndpointId &endpoint,
-                                                        const std::string &detail)
+asio::awaitable<CallRunner::Step>
+CallRunner::failIncompleteResponse(const Common::EndpointId &endpoint, const std::string &detail)
 {
-    ticket_->finished(endpoint, D::Outcome::Failed);
+    registration_->finished(endpoint, D::Outcome::Failed);
     context_.metrics.failed.add();
     Entry::Problem problem;
     problem.status = 502;
     problem.code = Common::ErrorCode::Unavailable;
     problem.detail = detail;
     problem.run = Common::RunState::Unknown;
-    co_await answerProblem(std::move(problem));
+    co_await sendProblem(std::move(problem));
     co_return Step::Ended;
 }
 
-/// A request to the owner of a key waits in no queue of this instance, so that nothing else ends
-/// its wait when the owner is dead, frozen or cut off: the caller would get no answer at all.
-Peers::AnswerFailure CallRunner::ownerSilent()
+/// Ends the wait for the owner of a key. Such a request is in no queue of this instance, so nothing
+/// else times it out when the owner is dead, frozen or unreachable, and the caller would never get
+/// a response.
+Peers::AnswerFailure CallRunner::ownerTimeoutFailure()
 {
     Peers::AnswerFailure failure;
     failure.status = 504;
@@ -453,16 +456,16 @@
     return failure;
 }
 
-asio::awaitable<CallRunner::Step> CallRunner::answerWithdrawn()
+asio::awaitable<CallRunner::Step> CallRunner::sendWithdrawnProblem()
 {
     context_.metrics.cancelled.add();
-    if (!callerGone_) {
+    if (!callerDisconnected_) {
         Entry::Problem problem;
         problem.status = 409;
         problem.code = Common::ErrorCode::Cancelled;
         problem.detail = "the request was superseded or withdrawn";
         problem.run = Common::RunState::Unknown;
-        co_await answerProblem(std::move(problem));
+        co_await sendProblem(std::move(problem));
     }
     co_return Step::Ended;
 }
@@ -470,40 +473,41 @@
 void CallRunner::withdraw()
 {
     withdrawn_ = true;
-    if (outgoing_ && !plan_.once) {
-        outgoing_->cancel();
+    if (outgoingCall_ && !plan_.atMostOnce) {
+        outgoingCall_->cancel();
     }
-    abandon();
+    abortAttempt();
 }
 
-void CallRunner::callerGone()
+void CallRunner::onCallerDisconnected()
 {
-    callerGone_ = true;
-    if (ticket_) {
-        ticket_->cancel();
+    callerDisconnected_ = true;
+    if (registration_) {
+        registration_->cancel();
     }
-    if (outgoing_ && !plan_.once) {
-        outgoing_->cancel();
+    if (outgoingCall_ && !plan_.atMostOnce) {
+        outgoingCall_->cancel();
     }
-    abandon();
+    abortAttempt();
 }
 
-void CallRunner::abandon()
+void CallRunner::abortAttempt()
 {
-    // An order that is under way is seen through: its caller will ask what became of it.
-    if (!stream_ || stream_->aborted() || !mayAbandon()) {
+    // An at-most-once request that was sent runs to completion: the caller will ask for its
+    // outcome.
+    if (!stream_ || stream_->aborted() || !mayAbort()) {
         return;
     }
     stream_->abort();
-    cancelRemotely();
+    cancelGeneration();
 }
 
-void CallRunner::cancelRemotely()
+void CallRunner::cancelGeneration()
 {
     if (!plan_.model) {
         return;
     }
-    // Engines notice a closed connection late; until then they generate for nobody.
+    // Engines detect a closed connection late and keep generating until then.
     auto cancel = [](std::shared_ptr<Endpoints::ConnectionPool> pool, std::string address,
                      Common::RequestId request, Common::Duration timeout,
                      RequestMetrics &metrics) -> asio::awaitable<void> {
--- a/Source/Core/Gateway/CallRunner.h
+++ b/Source/Core/Gateway/CallRunner.h
@@ -10,132 +10,136 @@
 #include "Decisions/Decisions.h"
 #include "Endpoints/Endpoints.h"
 #include "Entry/Entry.h"
+#include "Gateway/AsyncLedger.h"
 #include "Gateway/CallPlan.h"
 #include "Gateway/Dispatcher.h"
-#include "Gateway/LedgerDesk.h"
 #include "Gateway/Responder.h"
 #include "Gateway/RoutingTable.h"
 
 namespace LaburnumChute::Gateway {
 
-/// Measures of the path of a request.
+/// Metrics of request processing.
 struct RequestMetrics
 {
     explicit RequestMetrics(Common::MetricsRegistry &registry);
 
     Common::Counter &completed;
     Common::Counter &cancelled;
-    Common::Counter &refused;
+    Common::Counter &rejected;
     Common::Counter &failed;
     Common::Counter &cancelsConfirmed;
     Common::Counter &cancelsUnconfirmed;
     Common::Counter &resumptions;
-    Common::Counter &away;
+    Common::Counter &forwardedToRegion;
     Common::DurationHistogram &firstToken;
 };
 
-/// What runners share.
+/// Dependencies and settings that all runners share.
 struct RunnerContext
 {
     Common::InstanceId self;
     Common::RegionName home;
     Dispatcher &dispatcher;
-    LedgerDesk &ledger;
+    AsyncLedger &ledger;
     const RoutingTableCell &table;
     RequestMetrics &metrics;
     Endpoints::EndpointStreamOptions streamOptions;
     Common::Duration cancelTimeout;
 };
 
-/// Carries one planned request through: waits for decisions, sends it to an endpoint or another
-/// region, passes the answer back. Lives on the thread of its responder.
+/// Processes one planned request: waits for the scheduler's decisions, sends the request to an
+/// endpoint or another region, and relays the response. Runs on the thread of its responder.
 class CallRunner : public std::enable_shared_from_this<CallRunner>
 {
 public:
     CallRunner(const RunnerContext &context, std::shared_ptr<Endpoints::ConnectionPool> pool,
-               Arrival arrival, CallPlan plan, Responder responder);
+               IncomingRequest incoming, CallPlan plan, Responder responder);
 
     asio::awaitable<void> run();
 
 private:
-    /// How an endpoint's or a region's try went on for the loop in run().
+    /// Whether the loop in run() waits for another decision after an attempt.
     enum class Step { Ended, Continue };
 
-    asio::awaitable<bool> beginOnce();
-    /// Another instance has minted the request's key and holds it while it runs here.
-    bool heldBySender() const;
-    /// Asks whether a request that must not run twice may leave now; answers its caller if not.
-    asio::awaitable<bool> permitOnce(const Common::EndpointId &endpoint);
-    /// Records for a key that a try has failed.
+    /// Claims the idempotency key in the ledger; otherwise answers the caller and returns false.
+    asio::awaitable<bool> claimKey();
+    /// Another instance issued the request's idempotency key and holds it while the request runs
+    /// here.
+    bool keyHeldBySender() const;
+    /// Checks whether an at-most-once request may be sent now; answers the caller if not.
+    asio::awaitable<bool> permitDispatch(const Common::EndpointId &endpoint);
+    /// Records in the ledger that an attempt failed.
     asio::awaitable<void> recordFailure(bool notRun);
     asio::awaitable<Step> handle(const Decisions::Effect &effect);
     asio::awaitable<Step> runAtEndpoint(const Decisions::Dispatch &dispatch);
-    asio::awaitable<Step> passAnswer(Endpoints::ResponseHead head,
-                                     const Common::EndpointId &endpoint);
+    asio::awaitable<Step> relayResponse(Endpoints::ResponseHead head,
+                                        const Common::EndpointId &endpoint);
     asio::awaitable<Step> endpointFailed(Endpoints::EndpointFailure failure,
                                          const Common::EndpointId &endpoint);
     asio::awaitable<Step> completeAtEndpoint(const Common::EndpointId &endpoint);
-    asio::awaitable<Common::Result<void>> passPiece(std::string bytes);
-    /// Ends a call whose answer cannot be completed any more.
-    asio::awaitable<Step> brokenOff(const Common::EndpointId &endpoint, const std::string &detail);
-    asio::awaitable<bool> sendHead(const Endpoints::ResponseHead &head);
-    asio::awaitable<bool> sendEnd();
-
-    asio::awaitable<Step> runAtRegion(const Decisions::Forward &forward);
-    asio::awaitable<void> runAtOwner(Ledger::OwnedElsewhere owned);
-    /// The instance that keeps what an ended life of the owner handed over.
+    asio::awaitable<Common::Result<void>> relayPiece(std::string bytes);
+    /// Ends a call whose response can no longer be completed.
+    asio::awaitable<Step> failIncompleteResponse(const Common::EndpointId &endpoint,
+                                                 const std::string &detail);
+    asio::awaitable<bool> relayHead(const Endpoints::ResponseHead &head);
+    asio::awaitable<bool> relayEnd();
+
+    asio::awaitable<Step> forwardToRegion(const Decisions::Forward &forward);
+    asio::awaitable<void> forwardToOwner(Ledger::OwnedElsewhere owned);
+    /// The instance that received the ledger handover of an ended incarnation of the owner.
     const PeerEntry *successorOf(const Ledger::OwnedElsewhere &owned,
                                  const RoutingTable &table) const;
-    /// Passes the answer of the instance that can speak for the key, or gives the problem to tell.
-    asio::awaitable<std::optional<Entry::Problem>> askAnswerer(const PeerEntry *answerer,
-                                                               Ledger::RefusalReason otherwise);
+    /// Relays the response of the instance that holds the key's record, or returns the problem to
+    /// report to the caller.
+    asio::awaitable<std::optional<Entry::Problem>>
+    forwardToKeyHolder(const PeerEntry *keyHolder, Ledger::RefusalReason reasonIfUnreachable);
     asio::awaitable<void> releaseKey();
-    static Peers::AnswerFailure ownerSilent();
-    /// Forwards the request and passes the answer on; the failure when nothing was passed on.
-    asio::awaitable<std::optional<Peers::AnswerFailure>> passFrom(const PeerEntry &peer,
-                                                                  Peers::OnceRole once);
-    Peers::ForwardedRequest makeForwarded(Peers::OnceRole once) const;
-
-    asio::awaitable<void> refuse(const Decisions::Refuse &refusal);
-    asio::awaitable<void> answerProblem(Entry::Problem problem);
-    asio::awaitable<void> offerKey(std::string detail);
-
-    void callerGone();
-    /// The scheduler has given the request up: it was superseded, or its place is needed.
+    static Peers::AnswerFailure ownerTimeoutFailure();
+    /// Forwards the request and relays the response; returns the failure of the peer, if any.
+    asio::awaitable<std::optional<Peers::AnswerFailure>> relayFromPeer(const PeerEntry &peer,
+                                                                       Peers::OnceRole onceRole);
+    Peers::ForwardedRequest makeForwarded(Peers::OnceRole onceRole) const;
+
+    asio::awaitable<void> reject(const Decisions::Refuse &rejection);
+    asio::awaitable<void> sendProblem(Entry::Problem problem);
+    asio::awaitable<void> sendKeyRequired(std::string detail);
+
+    void onCallerDisconnected();
+    /// Called when the scheduler withdraws the request: it was superseded, or its slot is needed.
     void withdraw();
-    /// Takes the request off its endpoint or region, unless it must not be stopped half-way.
-    void abandon();
-    /// Tells a caller who is still there that its request was withdrawn.
-    asio::awaitable<Step> answerWithdrawn();
-    void cancelRemotely();
+    /// Aborts the attempt at an endpoint, unless it must run to completion.
+    void abortAttempt();
+    /// Reports to a caller that is still connected that its request was withdrawn.
+    asio::awaitable<Step> sendWithdrawnProblem();
+    void cancelGeneration();
     Endpoints::EndpointRequest endpointRequest(const EndpointEntry &endpoint) const;
-    bool mayAbandon() const
+    bool mayAbort() const
     {
-        return !runsOnce_;
+        return !atMostOnceDispatched_;
     }
 
     const RunnerContext &context_;
     std::shared_ptr<Endpoints::ConnectionPool> pool_;
-    Arrival arrival_;
+    IncomingRequest incoming_;
     CallPlan plan_;
     Responder responder_;
     std::shared_ptr<const RoutingTable> table_;
-    std::unique_ptr<Dispatcher::Ticket> ticket_;
+    std::unique_ptr<Dispatcher::Registration> registration_;
     std::unique_ptr<Endpoints::EndpointStream> stream_;
-    std::unique_ptr<Peers::OutgoingCall> outgoing_;
+    std::unique_ptr<Peers::OutgoingCall> outgoingCall_;
     std::optional<Ledger::Attempt> ledgerAttempt_;
     std::optional<Ledger::Dispatch> ledgerDispatch_;
-    std::optional<Entry::WholeAnswer> whole_;
+    std::optional<Entry::WholeAnswer> wholeAnswer_;
     std::optional<Entry::StreamContinuation> continuation_;
-    Ledger::KeptAnswer kept_;
+    Ledger::KeptAnswer recordedAnswer_;
     Common::Time startedAt_;
     bool firstTokenSeen_ = false;
-    bool callerGone_ = false;
+    bool callerDisconnected_ = false;
     bool withdrawn_ = false;
-    /// A request that must not run twice has left and must not be stopped half-way.
-    bool runsOnce_ = false;
-    /// The last forward did not leave this instance.
-    bool neverSent_ = false;
+    /// An at-most-once request was sent and must run to completion.
+    bool atMostOnceDispatched_ = false;
+    /// The last forwarded request never left this instance.
+    bool forwardNotSent_ = false;
 };
 
 } // namespace LaburnumChute::Gateway
--- a/Source/Core/Gateway/CallRunnerForward.cpp
+++ b/Source/Core/Gateway/CallRunnerForward.cpp
@@ -5,7 +5,7 @@
 
 #include "Gateway/CallProblems.h"
 
-// The part of CallRunner that sends requests to other instances.
+// CallRunner: forwarding of requests to other instances.
 
 namespace LaburnumChute::Gateway {
 
@@ -14,8 +14,8 @@
 namespace D = LaburnumChute::Decisions;
 namespace L = LaburnumChute::Ledger;
 
-/// One of the instances of the region; which one does not matter, since the region's endpoints are
-/// the same for all of them.
+/// Picks a random instance of the region. Any of them will do, since all instances of a region use
+/// the same endpoints.
 const PeerEntry *pickPeer(const RoutingTable &table, const Common::RegionName &region)
 {
     std::vector<const PeerEntry *> candidates;
@@ -35,54 +35,54 @@
 
 } // namespace
 
-Peers::ForwardedRequest CallRunner::makeForwarded(Peers::OnceRole once) const
+Peers::ForwardedRequest CallRunner::makeForwarded(Peers::OnceRole onceRole) const
 {
     Peers::ForwardedRequest request;
     request.request = plan_.callerId;
     request.customer = plan_.customer;
-    request.method = arrival_.method;
-    request.target = arrival_.target;
-    request.headers = arrival_.headers;
-    request.body = arrival_.body;
+    request.method = incoming_.method;
+    request.target = incoming_.target;
+    request.headers = incoming_.headers;
+    request.body = incoming_.body;
     request.fromRegion = context_.home;
-    if (arrival_.forwarded) {
-        request.visited = arrival_.forwarded->visited;
+    if (incoming_.forwarded) {
+        request.visited = incoming_.forwarded->visited;
     }
     request.visited.push_back(context_.self);
     const auto left = std::chrono::duration_cast<Common::milliseconds>(
         plan_.deadline - std::chrono::steady_clock::now());
     request.deadlineMs = static_cast<std::uint32_t>(std::max<std::int64_t>(1, left.count()));
-    request.once = once;
+    request.once = onceRole;
     return request;
 }
 
-asio::awaitable<std::optional<Peers::AnswerFailure>> CallRunner::passFrom(const PeerEntry &peer,
-                                                                          Peers::OnceRole once)
+asio::awaitable<std::optional<Peers::AnswerFailure>>
+CallRunner::relayFromPeer(const PeerEntry &peer, Peers::OnceRole onceRole)
 {
-    outgoing_ = peer.channel->open(makeForwarded(once), co_await asio::this_coro::executor);
+    outgoingCall_ = peer.channel->open(makeForwarded(onceRole), co_await asio::this_coro::executor);
     Common::Headers headers;
     std::string wholeBody;
     std::optional<unsigned> wholeStatus;
-    const bool toOwner = once == Peers::OnceRole::ToOwner;
-    auto patience = toOwner ? plan_.deadline : Common::Time::max();
+    const bool toOwner = onceRole == Peers::OnceRole::ToOwner;
+    auto deadline = toOwner ? plan_.deadline : Common::Time::max();
     while (true) {
-        auto item = co_await outgoing_->next(patience);
-        if (!item && !callerGone_ && toOwner && !responder_.started()) {
-            co_return ownerSilent();
+        auto item = co_await outgoingCall_->next(deadline);
+        if (!item && !callerDisconnected_ && toOwner && !responder_.started()) {
+            co_return ownerTimeoutFailure();
         }
-        if (((callerGone_ || withdrawn_) && mayAbandon()) || !item) {
+        if (((callerDisconnected_ || withdrawn_) && mayAbort()) || !item) {
             co_return std::nullopt;
         }
         if (auto *failure = std::get_if<Peers::AnswerFailure>(&*item)) {
             co_return std::move(*failure);
         }
         if (auto *head = std::get_if<Peers::AnswerHead>(&*item)) {
-            if (ticket_) {
-                ticket_->firstToken({});
+            if (registration_) {
+                registration_->firstToken({});
             }
-            patience = Common::Time::max();
+            deadline = Common::Time::max();
             const auto *type = Common::findHeader(head->headers, "Content-Type");
-            kept_ = {static_cast<int>(head->status), type != nullptr ? *type : "", {}};
+            recordedAnswer_ = {static_cast<int>(head->status), type != nullptr ? *type : "", {}};
             context_.metrics.firstToken.record(std::chrono::steady_clock::now() - startedAt_);
             if (Common::findHeader(head->headers, "Content-Length") != nullptr) {
                 wholeStatus = head->status;
@@ -92,20 +92,20 @@
                 });
                 continue;
             }
-            co_await responder_.head(head->status, std::move(head->headers));
+            co_await responder_.sendHead(head->status, std::move(head->headers));
         } else if (auto *piece = std::get_if<Peers::AnswerPiece>(&*item)) {
             if (ledgerDispatch_) {
-                kept_.body += piece->bytes;
+                recordedAnswer_.body += piece->bytes;
             }
             if (wholeStatus) {
                 wholeBody += piece->bytes;
             } else {
-                co_await responder_.piece(std::move(piece->bytes));
+                co_await responder_.sendPiece(std::move(piece->bytes));
             }
         } else {
             auto sending = wholeStatus
-                               ? responder_.whole(*wholeStatus, headers, std::move(wholeBody))
-                               : responder_.end();
+                               ? responder_.sendWhole(*wholeStatus, headers, std::move(wholeBody))
+                               : responder_.sendEnd();
             const bool sent = co_await std::move(sending);
             (sent ? context_.metrics.completed : context_.metrics.cancelled).add();
             co_return std::nullopt;
@@ -113,42 +113,43 @@
     }
 }
 
-asio::awaitable<CallRunner::Step> CallRunner::runAtRegion(const D::Forward &forward)
+asio::awaitable<CallRunner::Step> CallRunner::forwardToRegion(const D::Forward &forward)
 {
     const auto table = context_.table.share();
     const auto *peer = pickPeer(*table, forward.region);
     if (peer == nullptr) {
-        ticket_->finished({}, D::Outcome::NotStarted);
+        registration_->finished({}, D::Outcome::NotStarted);
         co_return Step::Continue;
     }
-    const bool permitted = co_await permitOnce({});
+    const bool permitted = co_await permitDispatch({});
     if (!permitted) {
         co_return Step::Ended;
     }
-    context_.metrics.away.add();
+    context_.metrics.forwardedToRegion.add();
     Common::logRequest(Common::LogType::Gateway, Common::LogLevel::Debug, plan_.callerId,
-                       "forwarded to {}", peer->id);
-    const auto once = plan_.once ? Peers::OnceRole::HeldBySender : Peers::OnceRole::None;
-    auto failure = co_await passFrom(*peer, once);
+                       "forwarded to instance {}", peer->id);
+    const auto onceRole = plan_.atMostOnce ? Peers::OnceRole::HeldBySender : Peers::OnceRole::None;
+    auto failure = co_await relayFromPeer(*peer, onceRole);
     if (failure) {
         co_await recordFailure(failure->run == Common::RunState::NotRun);
     } else if (ledgerDispatch_) {
-        co_await context_.ledger.finished(*ledgerDispatch_, kept_);
+        co_await context_.ledger.finished(*ledgerDispatch_, recordedAnswer_);
     }
-    if (withdrawn_ && !callerGone_) {
-        co_return co_await answerWithdrawn();
+    if (withdrawn_ && !callerDisconnected_) {
+        co_return co_await sendWithdrawnProblem();
     }
     if (!failure) {
-        ticket_->finished({}, callerGone_ ? D::Outcome::Cancelled : D::Outcome::Completed);
+        registration_->finished({}, callerDisconnected_ ? D::Outcome::Cancelled
+                                                        : D::Outcome::Completed);
         co_return Step::Ended;
     }
     if (responder_.started()) {
-        ticket_->finished({}, D::Outcome::Failed);
-        co_await answerProblem(problemOf(*failure));
+        registration_->finished({}, D::Outcome::Failed);
+        co_await sendProblem(problemOf(*failure));
         co_return Step::Ended;
     }
     const bool notRun = failure->run == Common::RunState::NotRun;
-    ticket_->finished({}, notRun ? D::Outcome::NotStarted : D::Outcome::Failed);
+    registration_->finished({}, notRun ? D::Outcome::NotStarted : D::Outcome::Failed);
     co_return Step::Continue;
 }
 
@@ -170,57 +171,57 @@
     return successor ? table.peer(*successor) : nullptr;
 }
 
-asio::awaitable<std::optional<Entry::Problem>> CallRunner::askAnswerer(const PeerEntry *answerer,
-                                                                       L::RefusalReason otherwise)
+asio::awaitable<std::optional<Entry::Problem>>
+CallRunner::forwardToKeyHolder(const PeerEntry *keyHolder, L::RefusalReason reasonIfUnreachable)
 {
     Entry::Problem problem;
     problem.run = L::OwnerUnreachableClaim;
-    if (answerer == nullptr || !answerer->channel || arrival_.forwarded) {
-        L::Refused refused;
-        refused.run = L::OwnerUnreachableClaim;
-        refused.reason = otherwise;
-        co_return onceProblem(refused);
+    if (keyHolder == nullptr || !keyHolder->channel || incoming_.forwarded) {
+        L::Refused ledgerRejection;
+        ledgerRejection.run = L::OwnerUnreachableClaim;
+        ledgerRejection.reason = reasonIfUnreachable;
+        co_return ledgerProblem(ledgerRejection);
     }
     const auto &allowed = plan_.facts.allowedRegions;
-    if (std::find(allowed.begin(), allowed.end(), answerer->region) == allowed.end()) {
+    if (std::find(allowed.begin(), allowed.end(), keyHolder->region) == allowed.end()) {
         problem.status = 421;
         problem.code = Common::ErrorCode::ResidencyRefused;
         problem.detail =
             "Idempotency-Key: its owner is in a region that the residency rule forbids";
-        problem.extra["entry"] = answerer->httpAddress;
+        problem.extra["entry"] = keyHolder->httpAddress;
         co_return problem;
     }
-    const auto failure = co_await passFrom(*answerer, Peers::OnceRole::ToOwner);
+    const auto failure = co_await relayFromPeer(*keyHolder, Peers::OnceRole::ToOwner);
     if (!failure) {
         co_return std::nullopt;
     }
     problem = problemOf(*failure);
-    neverSent_ =
+    forwardNotSent_ =
         failure->code == Common::ErrorCode::Unavailable && failure->run == Common::RunState::NotRun;
-    if (neverSent_) {
-        // This sending did not reach the owner, but an earlier one under the key may have.
+    if (forwardNotSent_) {
+        // This request did not reach the owner, but an earlier one with the same key may have.
         problem.run = L::OwnerUnreachableClaim;
     }
     co_return problem;
 }
 
-asio::awaitable<void> CallRunner::runAtOwner(L::OwnedElsewhere owned)
+asio::awaitable<void> CallRunner::forwardToOwner(L::OwnedElsewhere owned)
 {
-    // An instance that shuts down hands what became of its keys to a neighbour, which every other
-    // one finds by the same rule. Without asking there, a caller whose order ran just before would
-    // be told "unknown" although the answer is kept.
+    // An instance that shuts down hands its ledger over to a successor, which every other instance
+    // computes by the same rule. Without asking the successor, a caller whose request ran just
+    // before the shutdown would be told "unknown" although the response is stored.
     const auto table = context_.table.share();
     const auto *owner = table->peer(owned.owner);
-    const bool ended = owner == nullptr || owner->gone || owner->incarnation > owned.incarnation;
-    const auto *answerer = ended ? successorOf(owned, *table) : owner;
-    auto problem = co_await askAnswerer(answerer, ended ? L::RefusalReason::IncarnationGone
-                                                        : L::RefusalReason::OwnerUnreachable);
-    if (problem && neverSent_ && !ended) {
-        problem =
-            co_await askAnswerer(successorOf(owned, *table), L::RefusalReason::OwnerUnreachable);
+    const bool ended = owner == nullptr || owner->dead || owner->incarnation > owned.incarnation;
+    const auto *keyHolder = ended ? successorOf(owned, *table) : owner;
+    auto problem = co_await forwardToKeyHolder(
+        keyHolder, ended ? L::RefusalReason::IncarnationGone : L::RefusalReason::OwnerUnreachable);
+    if (problem && forwardNotSent_ && !ended) {
+        problem = co_await forwardToKeyHolder(successorOf(owned, *table),
+                                              L::RefusalReason::OwnerUnreachable);
     }
     if (problem) {
-        co_await answerProblem(std::move(*problem));
+        co_await sendProblem(std::move(*problem));
     }
 }
 
--- a/Source/Core/Gateway/ClusterRunner.cpp
+++ b/Source/Core/Gateway/ClusterRunner.cpp
@@ -16,10 +16,10 @@
 
 namespace D = LaburnumChute::Decisions;
 
-constexpr Common::LogType Part = Common::LogType::Cluster;
-constexpr Common::milliseconds ExchangeInterval{250};
-constexpr Common::milliseconds SuspectLifetime{600000};
-constexpr Common::milliseconds LeavingLifetime{60000};
+constexpr Common::LogType LogCategory = Common::LogType::Cluster;
+constexpr Common::milliseconds PublishInterval{250};
+constexpr Common::milliseconds SuspectNoticeLifetime{600000};
+constexpr Common::milliseconds LeavingNoticeLifetime{60000};
 constexpr double Percent = 100;
 
 std::uint64_t randomSeed()
@@ -31,11 +31,11 @@
 std::uint32_t roundedUp(double value)
 {
     constexpr double Highest = std::numeric_limits<std::uint32_t>::max();
-    // Upwards: what is left of a small capacity must not be told as nothing.
+    // Rounds up, so that a small remaining capacity is not reported as zero.
     return static_cast<std::uint32_t>(std::ceil(std::clamp(value, 0.0, Highest)));
 }
 
-std::string deathsText(const D::SuspectNotice &notice)
+std::string formatDeaths(const D::SuspectNotice &notice)
 {
     std::string text;
     for (const auto &endpoint : notice.deaths) {
@@ -56,30 +56,31 @@
     for (std::string name; names >> name;) {
         suspect.deaths.push_back(Common::EndpointId(name));
     }
-    suspect.age = std::max(Common::milliseconds(0), SuspectLifetime - notice.lifetime);
+    suspect.age = std::max(Common::milliseconds(0), SuspectNoticeLifetime - notice.lifetime);
     return suspect;
 }
 
-D::Target targetOf(const std::string &serviceName, const Configuration::Configuration &known)
+D::Target targetOf(const std::string &serviceName,
+                   const Configuration::Configuration &configuration)
 {
-    if (known.service(Common::ServiceName(serviceName)) != nullptr) {
+    if (configuration.service(Common::ServiceName(serviceName)) != nullptr) {
         return D::Target::service(Common::ServiceName(serviceName));
     }
     return D::Target::model(Common::ModelName(serviceName));
 }
 
 D::RegionSummary summaryOf(const Cluster::RegionSummary &region, const Cluster::ServiceLoad &load,
-                           const Configuration::Configuration &known,
+                           const Configuration::Configuration &configuration,
                            const Common::RegionName &home)
 {
     D::RegionSummary summary;
     summary.region = region.region;
-    summary.target = targetOf(load.name, known);
+    summary.target = targetOf(load.name, configuration);
     summary.utilisation = load.utilisationPercent / Percent;
     summary.freeTokensPerSecond = load.freeTokensPerSecond;
     summary.prefillTokensPerSecond = load.prefillTokensPerSecond;
     summary.expectedWait = Common::milliseconds(load.expectedWaitMs);
-    const auto *link = known.link(home, region.region);
+    const auto *link = configuration.link(home, region.region);
     summary.reachable = link != nullptr && region.aliveMembers > 0;
     if (link != nullptr) {
         summary.linkDelay = link->oneWayDelay;
@@ -103,8 +104,8 @@
     , dispatcher_(dispatcher)
     , configurationReader_(options_.configurationService)
     , listReader_(options_.instanceList, self.id)
-    , configurationNumber_(metrics.gauge("laburnumchute_configuration_number",
-                                         "Number of the configuration in force"))
+    , configurationNumberGauge_(metrics.gauge("laburnumchute_configuration_number",
+                                              "Number of the configuration in force"))
     , aliveMembers_(
           metrics.gauge("laburnumchute_members_alive", "Members of the region that are alive"))
     , conflicts_(metrics.counter("laburnumchute_configuration_conflicts_total",
@@ -114,30 +115,30 @@
 
 void ClusterRunner::start(TableListener listener, SupersededListener superseded)
 {
-    listener_ = std::move(listener);
-    superseded_ = std::move(superseded);
+    tableListener_ = std::move(listener);
+    supersededListener_ = std::move(superseded);
     asio::co_spawn(control_, socket_->run(), asio::detached);
     asio::co_spawn(control_, tickLoop(), asio::detached);
     asio::co_spawn(control_, listLoop(), asio::detached);
-    asio::co_spawn(control_, exchangeLoop(), asio::detached);
+    asio::co_spawn(control_, publishLoop(), asio::detached);
 }
 
 void ClusterRunner::receive(const Cluster::Address &from, const Cluster::GossipMessage &message)
 {
-    carryOut(node_.receive(from, message, std::chrono::steady_clock::now()));
+    execute(node_.receive(from, message, std::chrono::steady_clock::now()));
 }
 
 void ClusterRunner::announceLeaving()
 {
     leaving_ = true;
-    carryOut(node_.announceLeaving(std::chrono::steady_clock::now()));
+    execute(node_.announceLeaving(std::chrono::steady_clock::now()));
     publishTable();
 }
 
 asio::awaitable<void> ClusterRunner::tickLoop()
 {
     while (true) {
-        carryOut(node_.tick(std::chrono::steady_clock::now(), std::chrono::system_clock::now()));
+        execute(node_.tick(std::chrono::steady_clock::now(), std::chrono::system_clock::now()));
         co_await Async::sleepFor(options_.cluster.tickInterval);
     }
 }
@@ -147,27 +148,27 @@
     while (true) {
         const auto list = co_await listReader_.read();
         if (list) {
-            takeList(*list);
+            applyInstanceList(*list);
         } else {
             Common::log(Common::LogType::Platform, Common::LogLevel::Warning,
-                        "the instance list cannot be read: {}", list.error().message);
+                        "cannot read the instance list: {}", list.error().message);
         }
         co_await Async::sleepFor(options_.instanceListInterval);
     }
 }
 
-asio::awaitable<void> ClusterRunner::exchangeLoop()
+asio::awaitable<void> ClusterRunner::publishLoop()
 {
     while (true) {
-        co_await Async::sleepFor(ExchangeInterval);
-        shareLoad();
+        co_await Async::sleepFor(PublishInterval);
+        publishLoadReport();
         publishSuspects();
     }
 }
 
-void ClusterRunner::takeList(const Readers::InstanceList &list)
+void ClusterRunner::applyInstanceList(const Readers::InstanceList &list)
 {
-    list_ = list;
+    instanceList_ = list;
     std::vector<Cluster::Seed> seeds;
     for (const auto &listed : list.instances) {
         Cluster::Seed seed;
@@ -180,18 +181,18 @@
         seed.leaving = listed.leaving;
         seeds.push_back(std::move(seed));
     }
-    carryOut(node_.updateSeeds(seeds, std::chrono::steady_clock::now()));
+    execute(node_.updateSeeds(seeds, std::chrono::steady_clock::now()));
     for (const auto &endpoint : list.endpoints) {
         if (!endpoint.leaving || !leavingEndpoints_.insert(endpoint.id).second) {
             continue;
         }
-        // The list lags by another time for each reader; those who read it late are told.
+        // Each instance sees list updates with a different delay; the notice informs the slow ones.
         Cluster::Notice notice;
         notice.kind = Cluster::NoticeKind::EndpointLeaving;
         notice.subject = endpoint.id.text();
         notice.version = 1;
-        notice.lifetime = LeavingLifetime;
-        carryOut(node_.publishNotice(notice, std::chrono::steady_clock::now()));
+        notice.lifetime = LeavingNoticeLifetime;
+        execute(node_.publishNotice(notice, std::chrono::steady_clock::now()));
     }
     updateEndpoints();
     publishTable();
@@ -200,7 +201,7 @@
 void ClusterRunner::updateEndpoints()
 {
     std::vector<D::EndpointFacts> facts;
-    for (const auto &listed : list_.endpoints) {
+    for (const auto &listed : instanceList_.endpoints) {
         D::EndpointFacts endpoint;
         endpoint.id = listed.id;
         endpoint.region = listed.region;
@@ -222,7 +223,7 @@
     });
 }
 
-void ClusterRunner::shareLoad()
+void ClusterRunner::publishLoadReport()
 {
     const auto now = std::chrono::steady_clock::now();
     Cluster::LoadSummary local;
@@ -258,7 +259,7 @@
 {
     const auto now = std::chrono::steady_clock::now();
     for (const auto &suspect : dispatcher_.scheduler().suspectNotices(now)) {
-        auto &published = publishedDeaths_[suspect.fingerprint];
+        auto &published = publishedDeathCounts_[suspect.fingerprint];
         if (suspect.deaths.size() <= published) {
             continue;
         }
@@ -266,10 +267,10 @@
         Cluster::Notice notice;
         notice.kind = Cluster::NoticeKind::SuspectedPoison;
         notice.subject = fmt::format("{:016x}", suspect.fingerprint);
-        notice.detail = deathsText(suspect);
+        notice.detail = formatDeaths(suspect);
         notice.version = published;
-        notice.lifetime = SuspectLifetime;
-        carryOut(node_.publishNotice(notice, now));
+        notice.lifetime = SuspectNoticeLifetime;
+        execute(node_.publishNotice(notice, now));
     }
 }
 
@@ -284,83 +285,83 @@
     const auto now = std::chrono::steady_clock::now();
     if (!answer) {
         Common::log(Common::LogType::Platform, Common::LogLevel::Warning,
-                    "the configuration cannot be read: {}", answer.error().message);
-        carryOut(node_.configurationReadFailed(now));
+                    "cannot read the configuration: {}", answer.error().message);
+        execute(node_.configurationReadFailed(now));
     } else if (!*answer) {
-        carryOut(node_.configurationUnchanged(now));
+        execute(node_.configurationUnchanged(now));
     } else {
-        carryOut(node_.configurationRead({(*answer)->number, (*answer)->content}, now));
+        execute(node_.configurationRead({(*answer)->number, (*answer)->content}, now));
     }
 }
 
-void ClusterRunner::carryOut(const Cluster::Effects &effects)
+void ClusterRunner::execute(const Cluster::Effects &effects)
 {
     for (const auto &effect : effects) {
-        std::visit([this](const auto &each) { carryOut(each); }, effect);
+        std::visit([this](const auto &each) { execute(each); }, effect);
     }
 }
 
-void ClusterRunner::carryOut(const Cluster::SendGossip &effect)
+void ClusterRunner::execute(const Cluster::SendGossip &effect)
 {
     socket_->send(effect);
 }
 
-void ClusterRunner::carryOut(const Cluster::MemberChanged &effect)
+void ClusterRunner::execute(const Cluster::MemberChanged &effect)
 {
-    Common::log(Part, Common::LogLevel::Info, "member {} is {}", effect.member.info.id,
+    Common::log(LogCategory, Common::LogLevel::Info, "member {} is {}", effect.member.info.id,
                 Cluster::toString(effect.member.state));
     publishTable();
 }
 
-void ClusterRunner::carryOut(const Cluster::SelfSuperseded &effect)
+void ClusterRunner::execute(const Cluster::SelfSuperseded &effect)
 {
-    Common::log(Part, Common::LogLevel::Error,
+    Common::log(LogCategory, Common::LogLevel::Error,
                 "incarnation {} of this instance's id lives elsewhere; this one leaves", effect.by);
-    superseded_();
+    supersededListener_();
 }
 
-void ClusterRunner::carryOut(const Cluster::ResumedAfterPause &effect)
+void ClusterRunner::execute(const Cluster::ResumedAfterPause &effect)
 {
-    Common::log(Part, Common::LogLevel::Warning, "this process was paused for {} ms",
+    Common::log(LogCategory, Common::LogLevel::Warning, "this process was paused for {} ms",
                 effect.pause.count());
 }
 
-void ClusterRunner::carryOut(const Cluster::ValidateConfiguration &effect)
+void ClusterRunner::execute(const Cluster::ValidateConfiguration &effect)
 {
     const auto parsed = Configuration::parse(effect.content);
     const auto now = std::chrono::steady_clock::now();
     if (!parsed) {
-        carryOut(node_.configurationJudged(effect.number, tl::unexpected(parsed.error()), now));
+        execute(node_.configurationJudged(effect.number, tl::unexpected(parsed.error()), now));
         return;
     }
     validated_ = {effect.number, *parsed};
-    carryOut(node_.configurationJudged(effect.number, {}, now));
+    execute(node_.configurationJudged(effect.number, {}, now));
 }
 
-void ClusterRunner::carryOut(const Cluster::ConfigurationAdopted &effect)
+void ClusterRunner::execute(const Cluster::ConfigurationAdopted &effect)
 {
     if (validated_.number != effect.number) {
         const auto parsed = Configuration::parse(effect.content);
         validated_ = {effect.number, parsed ? *parsed : configuration_};
     }
     configuration_ = validated_.configuration;
-    number_ = effect.number;
-    configurationNumber_.set(static_cast<double>(number_));
+    activeConfigurationNumber_ = effect.number;
+    configurationNumberGauge_.set(static_cast<double>(activeConfigurationNumber_));
     Common::log(Common::LogType::Configuration, Common::LogLevel::Info, "version {} is in force",
-                number_);
+                activeConfigurationNumber_);
     updateLimits();
     updateEndpoints();
     publishTable();
 }
 
-void ClusterRunner::carryOut(const Cluster::ConfigurationRejected &effect)
+void ClusterRunner::execute(const Cluster::ConfigurationRejected &effect)
 {
     lastRejection_ = fmt::format("version {}: {}", effect.number, effect.reason);
     Common::log(Common::LogType::Configuration, Common::LogLevel::Error,
-                "version {} is not valid and not put in force: {}", effect.number, effect.reason);
+                "version {} is invalid and was not applied: {}", effect.number, effect.reason);
 }
 
-void ClusterRunner::carryOut(const Cluster::ConfigurationConflict &effect)
+void ClusterRunner::execute(const Cluster::ConfigurationConflict &effect)
 {
     conflicts_.add();
     Common::log(Common::LogType::Configuration, Common::LogLevel::Error,
@@ -369,24 +370,24 @@
                 effect.holder.empty() ? "the service" : effect.holder.text());
 }
 
-void ClusterRunner::carryOut(const Cluster::ReadConfiguration &effect)
+void ClusterRunner::execute(const Cluster::ReadConfiguration &effect)
 {
     ++readGeneration_;
     asio::co_spawn(control_, readConfiguration(readGeneration_, effect.afterNumber, effect.wait),
                    asio::detached);
 }
 
-void ClusterRunner::carryOut(const Cluster::StopReadingConfiguration &)
+void ClusterRunner::execute(const Cluster::StopReadingConfiguration &)
 {
     ++readGeneration_;
 }
 
-void ClusterRunner::carryOut(const Cluster::NoticeReceived &effect)
+void ClusterRunner::execute(const Cluster::NoticeReceived &effect)
 {
     const auto &notice = effect.notice;
     if (notice.kind == Cluster::NoticeKind::SuspectedPoison) {
         if (const auto suspect = suspectOf(notice)) {
-            auto &published = publishedDeaths_[suspect->fingerprint];
+            auto &published = publishedDeathCounts_[suspect->fingerprint];
             published = std::max(published, suspect->deaths.size());
             dispatcher_.scheduler().mergeSuspects({*suspect}, std::chrono::steady_clock::now());
         }
@@ -397,7 +398,7 @@
     }
 }
 
-void ClusterRunner::carryOut(const Cluster::RegionChanged &)
+void ClusterRunner::execute(const Cluster::RegionChanged &)
 {
     publishTable();
 }
@@ -420,15 +421,15 @@
                                                                const std::string &address)
 {
     auto &client = channelClients_[id];
-    auto &known = channelAddresses_[id];
+    auto &knownAddress = channelAddresses_[id];
     if (!client) {
         const Peers::Hello self{node_.self().id, node_.self().incarnation};
         client = std::make_shared<Peers::ChannelClient>(channels_, options_.channel, self,
                                                         Peers::PeerAddress{id, address});
-    } else if (known != address) {
+    } else if (knownAddress != address) {
         client->setAddress(address);
     }
-    known = address;
+    knownAddress = address;
     return client;
 }
 
@@ -449,9 +450,9 @@
 void ClusterRunner::publishTable()
 {
     auto table = std::make_shared<RoutingTable>();
-    table->number = number_;
+    table->configurationNumber = activeConfigurationNumber_;
     table->configuration = configuration_;
-    for (const auto &listed : list_.endpoints) {
+    for (const auto &listed : instanceList_.endpoints) {
         table->endpoints[listed.id] = {listed.id, listed.region, listed.http};
     }
     for (const auto &region : node_.regions()) {
@@ -467,16 +468,17 @@
         alive += member.state == Cluster::MemberState::Alive ? 1 : 0;
         const bool self = member.info.id == node_.self().id;
         addPeer(*table, member.info, usable && !(leaving_ && self));
-        table->peers[member.info.id].gone = member.state == Cluster::MemberState::Dead;
+        table->peers[member.info.id].dead = member.state == Cluster::MemberState::Dead;
         if (usable) {
             serving.push_back(member.info.id);
         }
     }
-    for (const auto &listed : list_.instances) {
+    for (const auto &listed : instanceList_.instances) {
         if (table->peers.count(listed.id) > 0) {
             continue;
         }
-        // Listed, but never heard of: it may own idempotency keys, but gets no new work.
+        // Listed, but not seen in gossip yet: it may own idempotency keys, but gets no new
+        // requests.
         Cluster::MemberInfo info;
         info.id = listed.id;
         info.region = listed.region;
@@ -490,19 +492,20 @@
     });
     const std::shared_ptr<const RoutingTable> published = table;
     table_.publish(published);
-    if (listener_) {
-        listener_(*published);
+    if (tableListener_) {
+        tableListener_(*published);
     }
 }
 
 nlohmann::json ClusterRunner::dump() const
 {
     return {{"cluster", node_.dump()},
-            {"configuration_number", number_},
+            {"configuration_number", activeConfigurationNumber_},
             {"last_rejection", lastRejection_},
             {"leaving", leaving_},
             {"instance_list",
-             {{"instances", list_.instances.size()}, {"endpoints", list_.endpoints.size()}}}};
+             {{"instances", instanceList_.instances.size()},
+              {"endpoints", instanceList_.endpoints.size()}}}};
 }
 
 } // namespace LaburnumChute::Gateway
--- a/Source/Core/Gateway/ClusterRunner.h
+++ b/Source/Core/Gateway/ClusterRunner.h
@@ -30,14 +30,14 @@
     Peers::ChannelOptions channel;
 };
 
-/// Runs the instance's part in the cluster: gossip, reading of the platform, and the routing table
-/// made of both. All of it on the control context.
+/// Runs the cluster protocol of the instance: gossip, reading the platform services, and building
+/// the routing table from both. Runs on the control context.
 class ClusterRunner
 {
 public:
-    /// Told after each new routing table.
+    /// Called after each update of the routing table.
     using TableListener = std::function<void(const RoutingTable &)>;
-    /// Told when another process lives under this instance's id.
+    /// Called when another process runs under this instance's id.
     using SupersededListener = std::function<void()>;
 
     ClusterRunner(asio::io_context &control, asio::io_context &channels,
@@ -47,7 +47,7 @@
 
     void start(TableListener listener, SupersededListener superseded);
     void receive(const Cluster::Address &from, const Cluster::GossipMessage &message);
-    /// Tells all others that this instance leaves.
+    /// Announces to all other instances that this instance is leaving.
     void announceLeaving();
 
     /// Only from the control context.
@@ -57,12 +57,12 @@
     }
     const std::vector<Readers::ListedEndpoint> &listedEndpoints() const
     {
-        return list_.endpoints;
+        return instanceList_.endpoints;
     }
     nlohmann::json dump() const;
 
 private:
-    struct Validated
+    struct ValidatedConfiguration
     {
         Common::ConfigurationNumber number = 0;
         std::shared_ptr<const Configuration::Configuration> configuration;
@@ -70,28 +70,28 @@
 
     asio::awaitable<void> tickLoop();
     asio::awaitable<void> listLoop();
-    asio::awaitable<void> exchangeLoop();
+    asio::awaitable<void> publishLoop();
     asio::awaitable<void> readConfiguration(std::uint64_t generation,
                                             Common::ConfigurationNumber after,
                                             Common::milliseconds wait);
 
-    void carryOut(const Cluster::Effects &effects);
-    void carryOut(const Cluster::SendGossip &effect);
-    void carryOut(const Cluster::MemberChanged &effect);
-    void carryOut(const Cluster::SelfSuperseded &effect);
-    void carryOut(const Cluster::ResumedAfterPause &effect);
-    void carryOut(const Cluster::ValidateConfiguration &effect);
-    void carryOut(const Cluster::ConfigurationAdopted &effect);
-    void carryOut(const Cluster::ConfigurationRejected &effect);
-    void carryOut(const Cluster::ConfigurationConflict &effect);
-    void carryOut(const Cluster::ReadConfiguration &effect);
-    void carryOut(const Cluster::StopReadingConfiguration &effect);
-    void carryOut(const Cluster::NoticeReceived &effect);
-    void carryOut(const Cluster::RegionChanged &effect);
+    void execute(const Cluster::Effects &effects);
+    void execute(const Cluster::SendGossip &effect);
+    void execute(const Cluster::MemberChanged &effect);
+    void execute(const Cluster::SelfSuperseded &effect);
+    void execute(const Cluster::ResumedAfterPause &effect);
+    void execute(const Cluster::ValidateConfiguration &effect);
+    void execute(const Cluster::ConfigurationAdopted &effect);
+    void execute(const Cluster::ConfigurationRejected &effect);
+    void execute(const Cluster::ConfigurationConflict &effect);
+    void execute(const Cluster::ReadConfiguration &effect);
+    void execute(const Cluster::StopReadingConfiguration &effect);
+    void execute(const Cluster::NoticeReceived &effect);
+    void execute(const Cluster::RegionChanged &effect);
 
-    void takeList(const Readers::InstanceList &list);
+    void applyInstanceList(const Readers::InstanceList &list);
     void updateEndpoints();
-    void shareLoad();
+    void publishLoadReport();
     void publishSuspects();
     void publishTable();
     void addPeer(RoutingTable &table, const Cluster::MemberInfo &info, bool usable);
@@ -108,20 +108,20 @@
     Dispatcher &dispatcher_;
     Readers::ConfigurationReader configurationReader_;
     Readers::InstanceListReader listReader_;
-    TableListener listener_;
-    SupersededListener superseded_;
-    Readers::InstanceList list_;
+    TableListener tableListener_;
+    SupersededListener supersededListener_;
+    Readers::InstanceList instanceList_;
     std::shared_ptr<const Configuration::Configuration> configuration_;
-    Common::ConfigurationNumber number_ = 0;
-    Validated validated_;
+    Common::ConfigurationNumber activeConfigurationNumber_ = 0;
+    ValidatedConfiguration validated_;
     std::map<Common::InstanceId, std::shared_ptr<Peers::ChannelClient>> channelClients_;
     std::map<Common::InstanceId, std::string> channelAddresses_;
-    std::map<std::uint64_t, std::size_t> publishedDeaths_;
+    std::map<std::uint64_t, std::size_t> publishedDeathCounts_;
     std::set<Common::EndpointId> leavingEndpoints_;
     std::uint64_t readGeneration_ = 0;
     bool leaving_ = false;
     std::string lastRejection_;
-    Common::Gauge &configurationNumber_;
+    Common::Gauge &configurationNumberGauge_;
     Common::Gauge &aliveMembers_;
     Common::Counter &conflicts_;
 };
--- a/Source/Core/Gateway/Gateway.cpp
+++ b/Source/Core/Gateway/Gateway.cpp
@@ -21,25 +21,26 @@
 namespace L = LaburnumChute::Ledger;
 using nlohmann::json;
 
-constexpr Common::LogType Part = Common::LogType::Gateway;
-constexpr std::size_t InnerThreads = 2;
+constexpr Common::LogType LogCategory = Common::LogType::Gateway;
+constexpr std::size_t InternalThreads = 2;
 constexpr std::size_t ControlContext = 0;
 constexpr std::size_t ChannelContext = 1;
 constexpr Common::milliseconds HousekeepingInterval{1000};
-constexpr Common::milliseconds QuietInterval{50};
-constexpr Common::milliseconds HandoverTimeout{2000};
+constexpr Common::milliseconds IdlePollInterval{50};
+constexpr Common::milliseconds InternalRequestTimeout{2000};
 constexpr const char *HandoverSubject = "ledger-handover";
-constexpr const char *HintsSubject = "order-hints";
+constexpr const char *OrderHintsSubject = "order-hints";
 constexpr const char *SupersedeSubject = "supersede";
-/// A caller takes a second or more to submit an order again; hints that wait a fifth of that travel
-/// together.
-constexpr Common::milliseconds HintInterval{200};
-/// Up to here hints go to all instances, beyond to those of the region alone.
-constexpr std::size_t ToldPeersLimit = 16;
-
-/// Tells peers that a caller has replaced a request which one of them may have. Without it the old
-/// draft is generated to its end for nobody when the new one came to another instance.
-struct Superseded
+/// Batches hints. Callers take at least a second to resubmit an order, so a delay of a fifth of
+/// that still detects the duplicate.
+constexpr Common::milliseconds OrderHintInterval{200};
+/// With more peers than this, broadcasts go only to the peers of the home region.
+constexpr std::size_t AllRegionsPeerLimit = 16;
+
+/// Tells peers that a caller has superseded a request that one of them may have. Without it, when
+/// the new request arrives at another instance, the old response is generated to its end although
+/// no one reads it.
+struct SupersedeMessage
 {
     Common::CustomerName customer;
     Common::RequestId callerId;
@@ -105,57 +106,58 @@
 Gateway::Gateway(GatewayOptions options)
     : options_(std::move(options))
     , incarnation_(newIncarnation())
-    , callers_(static_cast<std::size_t>(options_.threads))
-    , inner_(InnerThreads)
+    , callerPool_(static_cast<std::size_t>(options_.threads))
+    , internalPool_(InternalThreads)
     , table_(std::make_shared<const RoutingTable>())
-    , channelPool_(std::make_shared<Endpoints::ConnectionPool>(
-          options_.pool, inner_.at(ChannelContext).get_executor()))
+    , channelConnectionPool_(std::make_shared<Endpoints::ConnectionPool>(
+          options_.pool, internalPool_.at(ChannelContext).get_executor()))
     , requestMetrics_(metrics_)
-    , dispatcher_(inner_.at(ControlContext), makeScheduler(options_), metrics_)
-    , ledger_(inner_.at(ControlContext), makeLedger(options_, incarnation_))
-    , monitor_(inner_.at(ChannelContext),
+    , dispatcher_(internalPool_.at(ControlContext), makeScheduler(options_), metrics_)
+    , ledger_(internalPool_.at(ControlContext), makeLedger(options_, incarnation_))
+    , monitor_(internalPool_.at(ChannelContext),
                EndpointMonitorOptions{options_.loadInterval, options_.cacheEventInterval,
                                       Common::milliseconds(1000)},
                options_.pool, dispatcher_)
     , runnerContext_{options_.instance, options_.region, dispatcher_,           ledger_, table_,
                      requestMetrics_,   options_.stream, options_.cancelTimeout}
     , requests_(
-          runnerContext_, [this] { return poolOfThread(); }, options_.adviceLifetime)
-    , signals_(inner_.at(ControlContext), SIGTERM, SIGINT)
+          runnerContext_, [this] { return threadConnectionPool(); }, options_.adviceLifetime)
+    , signals_(internalPool_.at(ControlContext), SIGTERM, SIGINT)
 {
-    for (std::size_t index = 0; index < callers_.size(); ++index) {
-        pools_.push_back(std::make_shared<Endpoints::ConnectionPool>(
-            options_.pool, callers_.at(index).get_executor()));
+    for (std::size_t index = 0; index < callerPool_.size(); ++index) {
+        connectionPools_.push_back(std::make_shared<Endpoints::ConnectionPool>(
+            options_.pool, callerPool_.at(index).get_executor()));
     }
 }
 
 Gateway::~Gateway()
 {
-    callers_.stop();
-    inner_.stop();
+    callerPool_.stop();
+    internalPool_.stop();
 }
 
-std::shared_ptr<Endpoints::ConnectionPool> Gateway::poolOfThread() const
+std::shared_ptr<Endpoints::ConnectionPool> Gateway::threadConnectionPool() const
 {
-    return pools_.at(Async::IoPool::currentIndex());
+    return connectionPools_.at(Async::IoPool::currentIndex());
 }
 
 void Gateway::buildServers()
 {
     callerServer_ = std::make_unique<Entry::HttpServer>(
-        callers_, options_.http,
+        callerPool_, options_.http,
         [this](Entry::Exchange &exchange) { return requests_.serve(exchange); });
     OperatorHandler::Actions actions;
     actions.dump = [this] { return dump(); };
     actions.configurationContent = [this] { return cluster_->node().configuration().content; };
     actions.drain = [this] { beginDrain(); };
-    operators_ = std::make_unique<OperatorHandler>(inner_.at(ControlContext), dispatcher_, table_,
-                                                   metrics_, std::move(actions));
+    operators_ = std::make_unique<OperatorHandler>(internalPool_.at(ControlContext), dispatcher_,
+                                                   table_, metrics_, std::move(actions));
     operatorServer_ = std::make_unique<Entry::HttpServer>(
-        callers_, options_.http,
+        callerPool_, options_.http,
         [this](Entry::Exchange &exchange) { return operators_->serve(exchange); });
     channelServer_ = std::make_unique<Peers::ChannelServer>(
-        inner_.at(ChannelContext), options_.channel, Peers::Hello{options_.instance, incarnation_},
+        internalPool_.at(ChannelContext), options_.channel,
+        Peers::Hello{options_.instance, incarnation_},
         [this](std::shared_ptr<Peers::IncomingCall> call) { return servePeer(std::move(call)); });
 }
 
@@ -166,7 +168,7 @@
         return tl::unexpected(local.error());
     }
     auto socket = std::make_unique<Peers::GossipSocket>(
-        inner_.at(ControlContext).get_executor(),
+        internalPool_.at(ControlContext).get_executor(),
         [this](const Cluster::Address &from, const Cluster::GossipMessage &message) {
             cluster_->receive(from, message);
         });
@@ -182,10 +184,10 @@
     clusterOptions.instanceList = options_.instanceList;
     clusterOptions.instanceListInterval = options_.instanceListInterval;
     clusterOptions.channel = options_.channel;
-    cluster_ = std::make_unique<ClusterRunner>(inner_.at(ControlContext), inner_.at(ChannelContext),
-                                               clusterOptions, self, std::move(socket), table_,
-                                               dispatcher_, metrics_);
-    orders_ = std::make_unique<OrderRunner>(inner_.at(ControlContext), options_.weightStore,
+    cluster_ = std::make_unique<ClusterRunner>(
+        internalPool_.at(ControlContext), internalPool_.at(ChannelContext), clusterOptions, self,
+        std::move(socket), table_, dispatcher_, metrics_);
+    orders_ = std::make_unique<OrderRunner>(internalPool_.at(ControlContext), options_.weightStore,
                                             *cluster_, table_, metrics_);
     return {};
 }
@@ -211,23 +213,24 @@
     if (const auto built = buildCluster(self); !built) {
         return tl::unexpected(built.error());
     }
-    auto &control = inner_.at(ControlContext);
+    auto &control = internalPool_.at(ControlContext);
     asio::post(control, [this] {
         cluster_->start([this](const RoutingTable &) { watchEndpoints(); },
                         [this] { beginDrain(); });
         orders_->start();
     });
-    dispatcher_.onForeignSupersede(
+    dispatcher_.onRemoteSupersede(
         [this](const Common::CustomerName &customer, const Common::RequestId &callerId) {
-            tellPeers(SupersedeSubject, encode(Superseded{customer, callerId}));
+            broadcastToPeers(SupersedeSubject, encode(SupersedeMessage{customer, callerId}));
         });
     asio::co_spawn(control, waitForSignal(), asio::detached);
     asio::co_spawn(control, housekeeping(), asio::detached);
-    asio::co_spawn(control, shareOrderHints(), asio::detached);
-    callers_.start();
-    inner_.start();
-    Common::log(Part, Common::LogLevel::Info, "instance {} of region {} serves callers at {}",
-                options_.instance, options_.region, *http);
+    asio::co_spawn(control, broadcastOrderHints(), asio::detached);
+    callerPool_.start();
+    internalPool_.start();
+    Common::log(LogCategory, Common::LogLevel::Info,
+                "instance {} of region {} serves callers at {}", options_.instance, options_.region,
+                *http);
     const json line = {{"instance", options_.instance.text()},
                        {"http", *http},
                        {"operator", *operators},
@@ -262,32 +265,32 @@
 void Gateway::beginDrain()
 {
     if (!draining_.exchange(true)) {
-        asio::co_spawn(inner_.at(ControlContext), drain(), asio::detached);
+        asio::co_spawn(internalPool_.at(ControlContext), drain(), asio::detached);
     }
 }
 
-bool Gateway::quiet() const
+bool Gateway::idle() const
 {
     return callerServer_->exchanges() == 0 && channelServer_->calls() == 0;
 }
 
 asio::awaitable<void> Gateway::drain()
 {
-    // Callers keep the advice of /v1/entries for its lifetime, and other instances learn of the
-    // leaving within seconds; until then requests still arrive and are served. Closing the
-    // listener first would turn them away.
-    Common::log(Part, Common::LogLevel::Info, "this instance leaves");
+    // Callers cache the response of /v1/entries for its lifetime, and other instances learn within
+    // seconds that this one is leaving. Requests that arrive until then are served; closing the
+    // listener first would reject them.
+    Common::log(LogCategory, Common::LogLevel::Info, "this instance is leaving; draining");
     cluster_->announceLeaving();
     ledger_.ledger().close();
     co_await Async::sleepFor(options_.drainNotice);
     callerServer_->drain();
     callerServer_->stopAccepting();
-    const auto giveUp = std::chrono::steady_clock::now() + options_.drainTimeout;
-    while (!quiet() && std::chrono::steady_clock::now() < giveUp) {
-        co_await Async::sleepFor(QuietInterval);
+    const auto drainDeadline = std::chrono::steady_clock::now() + options_.drainTimeout;
+    while (!idle() && std::chrono::steady_clock::now() < drainDeadline) {
+        co_await Async::sleepFor(IdlePollInterval);
     }
     co_await handOverLedger();
-    Common::log(Part, Common::LogLevel::Info, "stopped with {} requests in flight",
+    Common::log(LogCategory, Common::LogLevel::Info, "stopped with {} requests in flight",
                 callerServer_->exchanges() + channelServer_->calls());
     stopped_.set_value();
 }
@@ -309,11 +312,12 @@
     const auto call =
         table->peer(*successor)
             ->channel->open(Peers::InternalRequest{HandoverSubject, encode(*handover)},
-                            inner_.at(ControlContext).get_executor());
-    const auto answer = co_await call->next(std::chrono::steady_clock::now() + HandoverTimeout);
-    const bool taken = answer && std::holds_alternative<Peers::AnswerHead>(*answer);
-    Common::log(Part, Common::LogLevel::Info, "handed {} records over to {}: {}",
-                handover->records.size(), *successor, taken ? "taken" : "not confirmed");
+                            internalPool_.at(ControlContext).get_executor());
+    const auto answer =
+        co_await call->next(std::chrono::steady_clock::now() + InternalRequestTimeout);
+    const bool confirmed = answer && std::holds_alternative<Peers::AnswerHead>(*answer);
+    Common::log(LogCategory, Common::LogLevel::Info, "handed over {} ledger records to {}: {}",
+                handover->records.size(), *successor, confirmed ? "taken" : "not confirmed");
 }
 
 asio::awaitable<void> Gateway::servePeer(std::shared_ptr<Peers::IncomingCall> call)
@@ -321,11 +325,12 @@
     if (std::holds_alternative<Peers::InternalRequest>(call->request())) {
         co_await serveInternal(std::move(call));
     } else {
-        co_await requests_.serveForwarded(std::move(call), channelPool_);
+        co_await requests_.serveForwarded(std::move(call), channelConnectionPool_);
     }
 }
 
-asio::awaitable<Common::Result<void>> Gateway::takeInternal(const Peers::InternalRequest &request)
+asio::awaitable<Common::Result<void>>
+Gateway::handleInternalRequest(const Peers::InternalRequest &request)
 {
     if (request.subject == HandoverSubject) {
         const auto handover = decode<L::Handover>(request.body);
@@ -334,7 +339,7 @@
         }
         co_return co_await ledger_.adopt(*handover);
     }
-    if (request.subject == HintsSubject) {
+    if (request.subject == OrderHintsSubject) {
         const auto hints = decode<std::vector<L::DuplicateHint>>(request.body);
         if (!hints) {
             co_return tl::unexpected(hints.error());
@@ -342,7 +347,7 @@
         co_return co_await ledger_.learn(*hints);
     }
     if (request.subject == SupersedeSubject) {
-        const auto superseded = decode<Superseded>(request.body);
+        const auto superseded = decode<SupersedeMessage>(request.body);
         if (!superseded) {
             co_return tl::unexpected(superseded.error());
         }
@@ -354,20 +359,21 @@
 
 asio::awaitable<void> Gateway::serveInternal(std::shared_ptr<Peers::IncomingCall> call)
 {
-    const auto taken = co_await takeInternal(std::get<Peers::InternalRequest>(call->request()));
-    if (taken) {
+    const auto handled =
+        co_await handleInternalRequest(std::get<Peers::InternalRequest>(call->request()));
+    if (handled) {
         co_await call->send(Peers::AnswerHead{200, {}});
         co_await call->send(Peers::AnswerEnd());
         co_return;
     }
     Peers::AnswerFailure failure;
-    failure.code = taken.error().code;
+    failure.code = handled.error().code;
     failure.run = Common::RunState::NotRun;
-    failure.detail = taken.error().message;
+    failure.detail = handled.error().message;
     co_await call->send(std::move(failure));
 }
 
-void Gateway::tellPeers(const char *subject, const std::string &body)
+void Gateway::broadcastToPeers(const char *subject, const std::string &body)
 {
     const auto table = table_.share();
     std::vector<const PeerEntry *> receivers;
@@ -377,28 +383,28 @@
             receivers.push_back(&peer);
         }
     }
-    const bool few = receivers.size() <= ToldPeersLimit;
+    const bool allRegions = receivers.size() <= AllRegionsPeerLimit;
     for (const auto *peer : receivers) {
-        if (!few && peer->region != options_.region) {
+        if (!allRegions && peer->region != options_.region) {
             continue;
         }
         auto wait = [](std::unique_ptr<Peers::OutgoingCall> call) -> asio::awaitable<void> {
-            co_await call->next(std::chrono::steady_clock::now() + HandoverTimeout);
+            co_await call->next(std::chrono::steady_clock::now() + InternalRequestTimeout);
         };
-        auto &control = inner_.at(ControlContext);
+        auto &control = internalPool_.at(ControlContext);
         auto call =
             peer->channel->open(Peers::InternalRequest{subject, body}, control.get_executor());
         asio::co_spawn(control, wait(std::move(call)), asio::detached);
     }
 }
 
-asio::awaitable<void> Gateway::shareOrderHints()
+asio::awaitable<void> Gateway::broadcastOrderHints()
 {
     while (true) {
-        co_await Async::sleepFor(HintInterval);
+        co_await Async::sleepFor(OrderHintInterval);
         const auto hints = ledger_.ledger().takeHints();
         if (!hints.empty()) {
-            tellPeers(HintsSubject, encode(hints));
+            broadcastToPeers(OrderHintsSubject, encode(hints));
         }
     }
 }
@@ -409,10 +415,12 @@
         co_await Async::sleepFor(HousekeepingInterval);
         const auto now = std::chrono::steady_clock::now();
         ledger_.ledger().tick(now);
-        for (std::size_t index = 0; index < pools_.size(); ++index) {
-            asio::post(callers_.at(index), [pool = pools_[index], now] { pool->expire(now); });
+        for (std::size_t index = 0; index < connectionPools_.size(); ++index) {
+            asio::post(callerPool_.at(index),
+                       [pool = connectionPools_[index], now] { pool->expire(now); });
         }
-        asio::post(inner_.at(ChannelContext), [pool = channelPool_, now] { pool->expire(now); });
+        asio::post(internalPool_.at(ChannelContext),
+                   [pool = channelConnectionPool_, now] { pool->expire(now); });
     }
 }
 
--- a/Source/Core/Gateway/Gateway.h
+++ b/Source/Core/Gateway/Gateway.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Public header of the library Gateway: one entry instance, put together from all other libraries.
+// Public header of the Gateway library: an entry instance, assembled from all other libraries.
 
 #include <atomic>
 #include <future>
@@ -12,12 +12,12 @@
 
 #include "Async/Async.h"
 #include "Common/Common.h"
+#include "Gateway/AsyncLedger.h"
 #include "Gateway/CallRunner.h"
 #include "Gateway/ClusterRunner.h"
 #include "Gateway/Dispatcher.h"
 #include "Gateway/EndpointMonitor.h"
 #include "Gateway/GatewayOptions.h"
-#include "Gateway/LedgerDesk.h"
 #include "Gateway/OperatorHandler.h"
 #include "Gateway/OrderRunner.h"
 #include "Gateway/RequestHandler.h"
@@ -25,7 +25,7 @@
 
 namespace LaburnumChute::Gateway {
 
-/// One entry instance: owns the threads, builds the parts, and shuts them down.
+/// An entry instance: owns the threads, creates the components and shuts them down.
 class Gateway
 {
 public:
@@ -34,10 +34,10 @@
     Gateway(const Gateway &) = delete;
     Gateway &operator=(const Gateway &) = delete;
 
-    /// Binds all addresses and starts serving. Returns the addresses bound, as one JSON line.
+    /// Binds all addresses and starts serving. Returns the bound addresses as one JSON line.
     Common::Result<std::string> start();
-    /// Serves until SIGTERM or SIGINT, or an operator's drain, then shuts down without cutting off
-    /// a request in flight, within the drain timeout.
+    /// Serves until SIGTERM, SIGINT or an operator's drain request, then shuts down, waiting up to
+    /// the drain timeout for requests in flight.
     void run();
 
 private:
@@ -45,33 +45,35 @@
     asio::awaitable<void> drain();
     void beginDrain();
     void watchEndpoints();
-    bool quiet() const;
+    bool idle() const;
     asio::awaitable<void> handOverLedger();
     asio::awaitable<void> housekeeping();
-    /// Tells peers which orders were submitted here, so that they can ask about a second one.
-    asio::awaitable<void> shareOrderHints();
-    void tellPeers(const char *subject, const std::string &body);
+    /// Tells peers which orders were submitted here, so that they can detect duplicates.
+    asio::awaitable<void> broadcastOrderHints();
+    void broadcastToPeers(const char *subject, const std::string &body);
     asio::awaitable<void> serveInternal(std::shared_ptr<Peers::IncomingCall> call);
-    asio::awaitable<Common::Result<void>> takeInternal(const Peers::InternalRequest &request);
+    asio::awaitable<Common::Result<void>>
+    handleInternalRequest(const Peers::InternalRequest &request);
     asio::awaitable<void> servePeer(std::shared_ptr<Peers::IncomingCall> call);
-    std::shared_ptr<Endpoints::ConnectionPool> poolOfThread() const;
+    std::shared_ptr<Endpoints::ConnectionPool> threadConnectionPool() const;
     nlohmann::json dump() const;
     Common::Result<void> buildCluster(Cluster::MemberInfo self);
     void buildServers();
 
     GatewayOptions options_;
     Common::Incarnation incarnation_;
-    Async::IoPool callers_;
-    /// One thread for all decisions and the cluster, one for the channels between instances. Both
-    /// pools are declared before all that holds sockets or timers of theirs.
-    Async::IoPool inner_;
+    Async::IoPool callerPool_;
+    /// One thread for scheduling and the cluster protocol, one for the channels between instances.
+    /// Both pools are declared before, and thus destroyed after, all members that hold their
+    /// sockets or timers.
+    Async::IoPool internalPool_;
     Common::MetricsRegistry metrics_;
     RoutingTableCell table_;
-    std::vector<std::shared_ptr<Endpoints::ConnectionPool>> pools_;
-    std::shared_ptr<Endpoints::ConnectionPool> channelPool_;
+    std::vector<std::shared_ptr<Endpoints::ConnectionPool>> connectionPools_;
+    std::shared_ptr<Endpoints::ConnectionPool> channelConnectionPool_;
     RequestMetrics requestMetrics_;
     Dispatcher dispatcher_;
-    LedgerDesk ledger_;
+    AsyncLedger ledger_;
     EndpointMonitor monitor_;
     RunnerContext runnerContext_;
     RequestHandler requests_;
--- a/Source/Core/Gateway/OperatorHandler.cpp
+++ b/Source/Core/Gateway/OperatorHandler.cpp
@@ -15,7 +15,8 @@
 constexpr std::string_view PatchPath = "/configuration/patch";
 constexpr std::string_view BaseQuery = "base=";
 
-// gcc 12 cannot compile nested initializer lists inside a coroutine; so documents are made here.
+// gcc 12 cannot compile nested initializer lists in coroutines, so these functions build the
+// documents.
 
 json singleMember(const char *name, json value)
 {
@@ -143,14 +144,14 @@
         co_return;
     }
     const auto table = table_.share();
-    // A plain variable: gcc 12 destroys an aggregate that a co_await helps to initialise twice,
-    // which ended the process on every patch.
+    // A separate variable: gcc 12 destroys an aggregate twice if a co_await is part of its
+    // initialization, which crashed the process on every patch.
     const std::string content = co_await Async::runOn(control_, actions_.configurationContent);
-    if (*base != table->number) {
+    if (*base != table->configurationNumber) {
         co_await sendError(exchange, Common::ErrorCode::Conflict,
                            fmt::format("the patch is based on version {}, version {} is in force",
-                                       *base, table->number),
-                           singleMember("current_number", table->number));
+                                       *base, table->configurationNumber),
+                           singleMember("current_number", table->configurationNumber));
         co_return;
     }
     const auto patched = Configuration::applyPatch(content, exchange.request().body);
@@ -167,12 +168,14 @@
                            Configuration::toString(report.problems));
         co_return;
     }
-    co_await sendJson(exchange, 200, patchedDocument(table->number, *patched, report.warnings));
+    co_await sendJson(exchange, 200,
+                      patchedDocument(table->configurationNumber, *patched, report.warnings));
 }
 
 asio::awaitable<void> OperatorHandler::trace(Entry::Exchange &exchange, std::string request)
 {
-    // Named, since gcc 12 destroys the captures of a closure twice that is a temporary of co_await.
+    // Named variables: gcc 12 destroys the captures of a closure twice if the closure is a
+    // temporary in a co_await expression.
     const Common::RequestId id(request);
     const auto explain = [this, id] { return dispatcher_.explain(id); };
     const auto lines = co_await Async::runOn(control_, explain);
--- a/Source/Core/Gateway/OperatorHandler.h
+++ b/Source/Core/Gateway/OperatorHandler.h
@@ -13,15 +13,16 @@
 
 namespace LaburnumChute::Gateway {
 
-/// Answers operators: dump, metrics, health, log levels, drain, patches, traces.
+/// Serves the operator interface: dump, metrics, health, configuration, log levels, drain, patches
+/// and traces.
 class OperatorHandler
 {
 public:
     struct Actions
     {
-        /// The state of the process; runs on the control context.
+        /// Returns the state of the process; runs on the control context.
         std::function<nlohmann::json()> dump;
-        /// The content of the configuration in force; runs on the control context.
+        /// Returns the content of the active configuration; runs on the control context.
         std::function<std::string()> configurationContent;
         std::function<void()> drain;
     };
--- a/Source/Core/Gateway/OrderRunner.cpp
+++ b/Source/Core/Gateway/OrderRunner.cpp
@@ -9,9 +9,9 @@
 
 using nlohmann::json;
 
-constexpr Common::LogType Part = Common::LogType::Cluster;
+constexpr Common::LogType LogCategory = Common::LogType::Cluster;
 constexpr Common::milliseconds LoopInterval{250};
-/// A gap in the loop from which this process was paused.
+/// A longer gap between iterations means that this process was paused.
 constexpr Common::milliseconds PauseThreshold{1000};
 constexpr Common::milliseconds LimitsInterval{30000};
 constexpr unsigned Ok = 200;
@@ -61,7 +61,7 @@
                 {{name, model.at("version").get<std::string>()}, model.at("state") == "ready"});
         }
         for (const json &adapter : document.at("adapters")) {
-            // Engines list their adapters without the model; a pool serves one model.
+            // Engines list adapters without their model; all engines of a pool serve one model.
             state.adapters.push_back(
                 {pool, Common::AdapterName(adapter.at("adapter").get<std::string>())});
         }
@@ -77,15 +77,15 @@
                          const ClusterRunner &cluster, const RoutingTableCell &table,
                          Common::MetricsRegistry &metrics, const Cluster::OrderOptions &options)
     : control_(control)
-    , hasStore_(!weightStore.empty())
-    , store_(weightStore)
+    , hasWeightStore_(!weightStore.empty())
+    , weightStore_(weightStore)
     , cluster_(cluster)
     , table_(table)
     , coordinator_(options)
     , deviating_(metrics.gauge("laburnumchute_engines_deviating",
                                "Engines that are not as the configuration wants them, as far as "
                                "this instance gives the orders"))
-    , ordersGiven_(metrics.counter("laburnumchute_engine_orders_total", "Orders given to engines"))
+    , ordersSent_(metrics.counter("laburnumchute_engine_orders_total", "Orders given to engines"))
     , foreignOrders_(metrics.counter("laburnumchute_engine_foreign_orders_total",
                                      "Readings that showed orders of somebody else"))
 {
@@ -93,13 +93,13 @@
 
 void OrderRunner::start()
 {
-    asio::co_spawn(control_, loop(), asio::detached);
-    if (hasStore_) {
+    asio::co_spawn(control_, coordinationLoop(), asio::detached);
+    if (hasWeightStore_) {
         asio::co_spawn(control_, limitsLoop(), asio::detached);
     }
 }
 
-asio::awaitable<void> OrderRunner::loop()
+asio::awaitable<void> OrderRunner::coordinationLoop()
 {
     const std::string scope = "orders/" + cluster_.node().self().region.text();
     Common::Time last = std::chrono::steady_clock::now();
@@ -112,7 +112,7 @@
         last = now;
         updateDesired();
         coordinator_.setOrderer(cluster_.node().orderer(scope) == cluster_.node().self().id, now);
-        carryOut(coordinator_.tick(now));
+        execute(coordinator_.tick(now));
         deviating_.set(coordinator_.orderer() ? static_cast<double>(coordinator_.deviating())
                                               : 0.0);
     }
@@ -121,7 +121,7 @@
 asio::awaitable<void> OrderRunner::limitsLoop()
 {
     while (true) {
-        const auto limits = co_await store_.readLimits();
+        const auto limits = co_await weightStore_.readLimits();
         if (limits) {
             const auto regions = std::max<std::size_t>(1, cluster_.node().regions().size());
             coordinator_.setLoadsPerMinute(limits->loadsPerMinute / static_cast<double>(regions));
@@ -138,13 +138,13 @@
     }
     std::vector<Cluster::DesiredEngine> desired;
     std::map<Common::EndpointId, Target> targets;
-    std::string text = std::to_string(table->number);
+    std::string signature = std::to_string(table->configurationNumber);
     for (const auto &listed : cluster_.listedEndpoints()) {
         const Common::ModelName name(listed.name);
         const auto *model = table->configuration->model(name);
-        const bool ours = listed.kind == Readers::EndpointKind::Engine
-                          && listed.region == cluster_.node().self().region && !listed.leaving;
-        if (!ours || model == nullptr) {
+        const bool managed = listed.kind == Readers::EndpointKind::Engine
+                             && listed.region == cluster_.node().self().region && !listed.leaving;
+        if (!managed || model == nullptr) {
             continue;
         }
         Cluster::DesiredEngine engine;
@@ -154,12 +154,12 @@
         for (const auto &adapter : model->adapters) {
             engine.adapters.push_back({name, adapter});
         }
-        text += " " + listed.id.text() + "@" + listed.http;
+        signature += " " + listed.id.text() + "@" + listed.http;
         targets[listed.id] = {listed.http, name};
         desired.push_back(std::move(engine));
     }
-    if (text != desiredText_) {
-        desiredText_ = text;
+    if (signature != desiredSignature_) {
+        desiredSignature_ = signature;
         targets_ = std::move(targets);
         coordinator_.setDesired(desired);
     }
@@ -171,18 +171,18 @@
     return it == targets_.end() ? Target{} : it->second;
 }
 
-void OrderRunner::carryOut(const Cluster::OrderEffects &effects)
+void OrderRunner::execute(const Cluster::OrderEffects &effects)
 {
     for (const auto &effect : effects) {
         if (const auto *read = std::get_if<Cluster::ReadEngineState>(&effect)) {
             asio::co_spawn(control_, readState(read->endpoint, targetOf(read->endpoint)),
                            asio::detached);
         } else if (const auto *order = std::get_if<Cluster::GiveOrder>(&effect)) {
-            asio::co_spawn(control_, give(*order, targetOf(order->endpoint)), asio::detached);
+            asio::co_spawn(control_, sendOrder(*order, targetOf(order->endpoint)), asio::detached);
         } else if (const auto *foreign = std::get_if<Cluster::ForeignOrders>(&effect)) {
             foreignOrders_.add();
-            Common::log(Part, Common::LogLevel::Warning, "engine {} had orders of somebody else",
-                        foreign->endpoint);
+            Common::log(LogCategory, Common::LogLevel::Warning,
+                        "engine {} received orders from another sender", foreign->endpoint);
         }
     }
 }
@@ -200,19 +200,20 @@
     }
     const auto state = parseState(answer->body, target.model);
     if (!state) {
-        Common::log(Part, Common::LogLevel::Warning, "state of engine {} cannot be read: {}",
-                    endpoint, state.error().message);
+        Common::log(LogCategory, Common::LogLevel::Warning,
+                    "cannot parse the state of engine {}: {}", endpoint, state.error().message);
         coordinator_.stateReadFailed(endpoint, now);
         co_return;
     }
-    carryOut(coordinator_.stateRead(endpoint, *state, now, std::chrono::system_clock::now()));
+    execute(coordinator_.stateRead(endpoint, *state, now, std::chrono::system_clock::now()));
 }
 
-asio::awaitable<void> OrderRunner::give(Cluster::GiveOrder order, Target target)
+asio::awaitable<void> OrderRunner::sendOrder(Cluster::GiveOrder order, Target target)
 {
-    ordersGiven_.add();
-    Common::log(Part, Common::LogLevel::Info, "order to engine {}: {} {} {} {} with fence {}",
-                order.endpoint, nameOf(order.order.action), order.order.model, order.order.version,
+    ordersSent_.add();
+    Common::log(LogCategory, Common::LogLevel::Info,
+                "sending order to engine {}: {} {} {} {} with fence {}", order.endpoint,
+                nameOf(order.order.action), order.order.model, order.order.version,
                 order.order.adapter, order.fence);
     Readers::HttpQuery query;
     query.address = target.address;
--- a/Source/Core/Gateway/OrderRunner.h
+++ b/Source/Core/Gateway/OrderRunner.h
@@ -16,12 +16,13 @@
 
 namespace LaburnumChute::Gateway {
 
-/// Carries out what the OrderCoordinator decides: reads the states of the region's engines and
-/// gives them orders, on the one instance that the cluster names. Lives on the control context.
+/// Executes the decisions of the OrderCoordinator on the instance that the cluster chooses as the
+/// region's orderer: reads the states of the engines and sends them orders. Runs on the control
+/// context.
 class OrderRunner
 {
 public:
-    /// Without a weight store no loads are given.
+    /// Without a weight store, no load orders are sent.
     OrderRunner(asio::io_context &control, const std::string &weightStore,
                 const ClusterRunner &cluster, const RoutingTableCell &table,
                 Common::MetricsRegistry &metrics, const Cluster::OrderOptions &options = {});
@@ -36,24 +37,24 @@
         Common::ModelName model;
     };
 
-    asio::awaitable<void> loop();
+    asio::awaitable<void> coordinationLoop();
     asio::awaitable<void> limitsLoop();
     asio::awaitable<void> readState(Common::EndpointId endpoint, Target target);
-    asio::awaitable<void> give(Cluster::GiveOrder order, Target target);
+    asio::awaitable<void> sendOrder(Cluster::GiveOrder order, Target target);
     void updateDesired();
-    void carryOut(const Cluster::OrderEffects &effects);
+    void execute(const Cluster::OrderEffects &effects);
     Target targetOf(const Common::EndpointId &endpoint) const;
 
     asio::io_context &control_;
-    bool hasStore_;
-    Readers::WeightStoreReader store_;
+    bool hasWeightStore_;
+    Readers::WeightStoreReader weightStore_;
     const ClusterRunner &cluster_;
     const RoutingTableCell &table_;
     Cluster::OrderCoordinator coordinator_;
     std::map<Common::EndpointId, Target> targets_;
-    std::string desiredText_;
+    std::string desiredSignature_;
     Common::Gauge &deviating_;
-    Common::Counter &ordersGiven_;
+    Common::Counter &ordersSent_;
     Common::Counter &foreignOrders_;
 };
 
--- a/Source/Core/Gateway/RequestHandler.cpp
+++ b/Source/Core/Gateway/RequestHandler.cpp
@@ -16,11 +16,11 @@
 constexpr std::string_view KeysPath = "/v1/idempotency-keys";
 constexpr std::string_view ServicesPrefix = "/services/";
 
-/// An instance of another region serves the caller too, but over the slow link and with cold
-/// caches. It is named as the way out when the own region's instances are gone, with so little
-/// weight that hardly anybody goes there while all is well.
-constexpr double HomeWeight = 1.0;
-constexpr double AwayWeight = 0.01;
+/// Instances of other regions can serve the caller too, but over a slow link and with cold caches.
+/// They are listed as a fallback for the loss of all instances of the home region; the low weight
+/// keeps nearly all callers away from them in normal operation.
+constexpr double HomeRegionWeight = 1.0;
+constexpr double OtherRegionWeight = 0.01;
 
 std::string_view pathOf(const std::string &target)
 {
@@ -51,7 +51,8 @@
     co_await exchange.sendWhole(status, std::move(headers), document.dump());
 }
 
-// gcc 12 cannot compile nested initializer lists inside a coroutine; so documents are made here.
+// gcc 12 cannot compile nested initializer lists in coroutines, so these functions build the
+// documents.
 
 json modelList(const RoutingTable &table)
 {
@@ -79,7 +80,7 @@
         entries.push_back({{"id", peer.id.text()},
                            {"region", peer.region.text()},
                            {"address", peer.httpAddress},
-                           {"weight", peer.region == home ? HomeWeight : AwayWeight}});
+                           {"weight", peer.region == home ? HomeRegionWeight : OtherRegionWeight}});
     }
     return {{"lifetime_ms", lifetime.count()}, {"entries", entries}};
 }
@@ -96,8 +97,8 @@
     return {{"key", key}, {"state", state}};
 }
 
-json foreignKeyDocument(const std::string &text, const L::IdempotencyKey &key,
-                        const RoutingTable &table)
+json remoteKeyDocument(const std::string &text, const L::IdempotencyKey &key,
+                       const RoutingTable &table)
 {
     auto document = keyDocument(text, "unknown");
     document["owner"] = key.owner.text();
@@ -108,7 +109,7 @@
     return document;
 }
 
-/// The value of the query "region".
+/// The value of the query parameter "region".
 std::optional<Common::RegionName> regionQuery(const std::string &target)
 {
     constexpr std::string_view Name = "?region=";
@@ -119,7 +120,7 @@
     return Common::RegionName(target.substr(start + Name.size()));
 }
 
-bool isLoop(const Peers::ForwardedRequest &forwarded, const Common::InstanceId &self)
+bool isForwardingLoop(const Peers::ForwardedRequest &forwarded, const Common::InstanceId &self)
 {
     const auto &visited = forwarded.visited;
     return visited.size() != 1 || visited.front() == self;
@@ -127,10 +128,11 @@
 
 } // namespace
 
-RequestHandler::RequestHandler(const RunnerContext &context, PoolOfThread poolOfThread,
+RequestHandler::RequestHandler(const RunnerContext &context,
+                               ConnectionPoolGetter threadConnectionPool,
                                Common::milliseconds adviceLifetime)
     : context_(context)
-    , poolOfThread_(std::move(poolOfThread))
+    , threadConnectionPool_(std::move(threadConnectionPool))
     , adviceLifetime_(adviceLifetime)
     , planner_(context.home)
 {
@@ -155,13 +157,13 @@
         co_await exchange.sendProblem(notFound(request.target));
         co_return;
     }
-    Arrival arrival;
-    arrival.id = exchange.id();
-    arrival.method = request.method;
-    arrival.target = request.target;
-    arrival.headers = request.headers;
-    arrival.body = request.body;
-    co_await serveCall(std::move(arrival), Responder(exchange), poolOfThread_());
+    IncomingRequest incoming;
+    incoming.id = exchange.id();
+    incoming.method = request.method;
+    incoming.target = request.target;
+    incoming.headers = request.headers;
+    incoming.body = request.body;
+    co_await serveCall(std::move(incoming), Responder(exchange), threadConnectionPool_());
 }
 
 asio::awaitable<void>
@@ -170,50 +172,50 @@
 {
     const auto &forwarded = std::get<Peers::ForwardedRequest>(call->request());
     Responder responder(call);
-    if (isLoop(forwarded, context_.self)) {
-        // Views of who is where differ between instances; a request that follows them could come
-        // back to where it was, and go round until its deadline.
+    if (isForwardingLoop(forwarded, context_.self)) {
+        // Instances can have different views of the cluster, so a request forwarded more than once
+        // could return to an earlier instance and circulate until its deadline.
         Entry::Problem problem;
         problem.status = 508;
         problem.code = Common::ErrorCode::ProtocolViolation;
         problem.detail = "the request has been forwarded before";
-        co_await responder.problem(std::move(problem));
+        co_await responder.sendProblem(std::move(problem));
         co_return;
     }
-    Arrival arrival;
-    arrival.id = forwarded.request;
-    arrival.method = forwarded.method;
-    arrival.target = forwarded.target;
-    arrival.headers = forwarded.headers;
-    arrival.body = forwarded.body;
-    arrival.forwarded = forwarded;
-    co_await serveCall(std::move(arrival), std::move(responder), std::move(pool));
+    IncomingRequest incoming;
+    incoming.id = forwarded.request;
+    incoming.method = forwarded.method;
+    incoming.target = forwarded.target;
+    incoming.headers = forwarded.headers;
+    incoming.body = forwarded.body;
+    incoming.forwarded = forwarded;
+    co_await serveCall(std::move(incoming), std::move(responder), std::move(pool));
 }
 
-PlanResult RequestHandler::plan(const Arrival &arrival, const RoutingTable &table) const
+PlanResult RequestHandler::plan(const IncomingRequest &incoming, const RoutingTable &table) const
 {
     const auto now = std::chrono::steady_clock::now();
-    const auto path = pathOf(arrival.target);
+    const auto path = pathOf(incoming.target);
     if (path.substr(0, ServicesPrefix.size()) == ServicesPrefix) {
-        return planner_.planServiceCall(arrival, table, now);
+        return planner_.planServiceCall(incoming, table, now);
     }
     const auto kind =
         path == ChatPath ? Entry::ModelCallKind::ChatCompletion : Entry::ModelCallKind::Completion;
-    return planner_.planModelCall(kind, arrival, table, now);
+    return planner_.planModelCall(kind, incoming, table, now);
 }
 
-asio::awaitable<void> RequestHandler::serveCall(Arrival arrival, Responder responder,
+asio::awaitable<void> RequestHandler::serveCall(IncomingRequest incoming, Responder responder,
                                                 std::shared_ptr<Endpoints::ConnectionPool> pool)
 {
     const auto table = context_.table.share();
-    auto planned = plan(arrival, *table);
+    auto planned = plan(incoming, *table);
     if (!planned) {
-        Common::logRequest(Common::LogType::Entry, Common::LogLevel::Info, arrival.id,
+        Common::logRequest(Common::LogType::Entry, Common::LogLevel::Info, incoming.id,
                            "refused: {}", planned.error().detail);
-        co_await responder.problem(planned.error());
+        co_await responder.sendProblem(planned.error());
         co_return;
     }
-    const auto runner = std::make_shared<CallRunner>(context_, std::move(pool), std::move(arrival),
+    const auto runner = std::make_shared<CallRunner>(context_, std::move(pool), std::move(incoming),
                                                      std::move(*planned), std::move(responder));
     co_await runner->run();
 }
@@ -291,7 +293,7 @@
         co_return;
     }
     const auto table = context_.table.share();
-    co_await sendJson(exchange, 200, foreignKeyDocument(keyText, *key, *table));
+    co_await sendJson(exchange, 200, remoteKeyDocument(keyText, *key, *table));
 }
 
 } // namespace LaburnumChute::Gateway
--- a/Source/Core/Gateway/RequestHandler.h
+++ b/Source/Core/Gateway/RequestHandler.h
@@ -13,25 +13,25 @@
 
 namespace LaburnumChute::Gateway {
 
-/// Answers what callers send: model calls, service calls, and questions about the gateway itself.
+/// Serves callers: model calls, service calls and requests about the gateway itself.
 class RequestHandler
 {
 public:
-    using PoolOfThread = std::function<std::shared_ptr<Endpoints::ConnectionPool>()>;
+    using ConnectionPoolGetter = std::function<std::shared_ptr<Endpoints::ConnectionPool>()>;
 
-    RequestHandler(const RunnerContext &context, PoolOfThread poolOfThread,
+    RequestHandler(const RunnerContext &context, ConnectionPoolGetter threadConnectionPool,
                    Common::milliseconds adviceLifetime);
 
-    /// A caller's request.
+    /// Serves a request of a caller.
     asio::awaitable<void> serve(Entry::Exchange &exchange);
-    /// A request that another instance has forwarded.
+    /// Serves a request that another instance forwarded.
     asio::awaitable<void> serveForwarded(std::shared_ptr<Peers::IncomingCall> call,
                                          std::shared_ptr<Endpoints::ConnectionPool> pool);
 
 private:
-    asio::awaitable<void> serveCall(Arrival arrival, Responder responder,
+    asio::awaitable<void> serveCall(IncomingRequest incoming, Responder responder,
                                     std::shared_ptr<Endpoints::ConnectionPool> pool);
-    PlanResult plan(const Arrival &arrival, const RoutingTable &table) const;
+    PlanResult plan(const IncomingRequest &incoming, const RoutingTable &table) const;
 
     asio::awaitable<void> serveModels(Entry::Exchange &exchange);
     asio::awaitable<void> serveEntries(Entry::Exchange &exchange);
@@ -40,7 +40,7 @@
     asio::awaitable<void> keyState(Entry::Exchange &exchange, std::string keyText);
 
     const RunnerContext &context_;
-    PoolOfThread poolOfThread_;
+    ConnectionPoolGetter threadConnectionPool_;
     Common::milliseconds adviceLifetime_;
     CallPlanner planner_;
 };
--- a/Source/Core/Gateway/Responder.cpp
+++ b/Source/Core/Gateway/Responder.cpp
@@ -2,58 +2,59 @@
 
 namespace LaburnumChute::Gateway {
 
-asio::awaitable<bool> Responder::head(unsigned status, Common::Headers headers)
+asio::awaitable<bool> Responder::sendHead(unsigned status, Common::Headers headers)
 {
     started_ = true;
-    if (const auto *caller = std::get_if<Caller>(&way_)) {
+    if (const auto *caller = std::get_if<Caller>(&receiver_)) {
         co_return co_await (*caller)->startBody(status, std::move(headers));
     }
     Peers::AnswerHead head;
     head.status = status;
     head.headers = std::move(headers);
-    co_return co_await std::get<Peer>(way_)->send(std::move(head));
+    co_return co_await std::get<Peer>(receiver_)->send(std::move(head));
 }
 
-asio::awaitable<bool> Responder::piece(std::string bytes)
+asio::awaitable<bool> Responder::sendPiece(std::string bytes)
 {
-    if (const auto *caller = std::get_if<Caller>(&way_)) {
+    if (const auto *caller = std::get_if<Caller>(&receiver_)) {
         co_return co_await (*caller)->sendPiece(bytes);
     }
     Peers::AnswerPiece piece;
     piece.bytes = std::move(bytes);
-    co_return co_await std::get<Peer>(way_)->send(std::move(piece));
+    co_return co_await std::get<Peer>(receiver_)->send(std::move(piece));
 }
 
-asio::awaitable<bool> Responder::end()
+asio::awaitable<bool> Responder::sendEnd()
 {
-    if (const auto *caller = std::get_if<Caller>(&way_)) {
+    if (const auto *caller = std::get_if<Caller>(&receiver_)) {
         co_return co_await (*caller)->endBody();
     }
-    co_return co_await std::get<Peer>(way_)->send(Peers::AnswerEnd());
+    co_return co_await std::get<Peer>(receiver_)->send(Peers::AnswerEnd());
 }
 
-asio::awaitable<bool> Responder::whole(unsigned status, Common::Headers headers, std::string body)
+asio::awaitable<bool> Responder::sendWhole(unsigned status, Common::Headers headers,
+                                           std::string body)
 {
-    if (const auto *caller = std::get_if<Caller>(&way_)) {
+    if (const auto *caller = std::get_if<Caller>(&receiver_)) {
         started_ = true;
         co_return co_await (*caller)->sendWhole(status, std::move(headers), std::move(body));
     }
     headers.push_back({"Content-Length", std::to_string(body.size())});
-    if (!co_await head(status, std::move(headers))) {
+    if (!co_await sendHead(status, std::move(headers))) {
         co_return false;
     }
     if (!body.empty()) {
-        const bool sent = co_await piece(std::move(body));
+        const bool sent = co_await sendPiece(std::move(body));
         if (!sent) {
             co_return false;
         }
     }
-    co_return co_await end();
+    co_return co_await sendEnd();
 }
 
-asio::awaitable<bool> Responder::problem(Entry::Problem problem)
+asio::awaitable<bool> Responder::sendProblem(Entry::Problem problem)
 {
-    if (const auto *caller = std::get_if<Caller>(&way_)) {
+    if (const auto *caller = std::get_if<Caller>(&receiver_)) {
         co_return co_await (*caller)->sendProblem(std::move(problem));
     }
     Peers::AnswerFailure failure;
@@ -66,17 +67,17 @@
         const auto wait = std::chrono::duration_cast<Common::milliseconds>(*problem.retryAfter);
         failure.retryAfterMs = static_cast<std::uint32_t>(wait.count());
     }
-    co_return co_await std::get<Peer>(way_)->send(std::move(failure));
+    co_return co_await std::get<Peer>(receiver_)->send(std::move(failure));
 }
 
-void Responder::onGone(std::function<void()> callback)
+void Responder::onDisconnect(std::function<void()> callback)
 {
-    std::visit([&](auto &way) { way->onGone(std::move(callback)); }, way_);
+    std::visit([&](auto &receiver) { receiver->onGone(std::move(callback)); }, receiver_);
 }
 
-bool Responder::gone() const
+bool Responder::disconnected() const
 {
-    return std::visit([](const auto &way) { return way->gone(); }, way_);
+    return std::visit([](const auto &receiver) { return receiver->gone(); }, receiver_);
 }
 
 } // namespace LaburnumChute::Gateway
--- a/Source/Core/Gateway/Responder.h
+++ b/Source/Core/Gateway/Responder.h
@@ -15,29 +15,29 @@
 
 namespace asio = boost::asio;
 
-/// The way back of an answer: to a caller on this instance, or over the channel to the instance
-/// that the caller spoke to. All that send give false when nobody takes the answer any more.
+/// Sends a response to a caller of this instance, or over the channel to the instance that
+/// forwarded the request. The send functions return false if the receiver has disconnected.
 class Responder
 {
 public:
     explicit Responder(Entry::Exchange &exchange)
-        : way_(&exchange)
+        : receiver_(&exchange)
     {
     }
     explicit Responder(std::shared_ptr<Peers::IncomingCall> call)
-        : way_(std::move(call))
+        : receiver_(std::move(call))
     {
     }
 
-    asio::awaitable<bool> head(unsigned status, Common::Headers headers);
-    asio::awaitable<bool> piece(std::string bytes);
-    asio::awaitable<bool> end();
-    asio::awaitable<bool> whole(unsigned status, Common::Headers headers, std::string body);
-    asio::awaitable<bool> problem(Entry::Problem problem);
+    asio::awaitable<bool> sendHead(unsigned status, Common::Headers headers);
+    asio::awaitable<bool> sendPiece(std::string bytes);
+    asio::awaitable<bool> sendEnd();
+    asio::awaitable<bool> sendWhole(unsigned status, Common::Headers headers, std::string body);
+    asio::awaitable<bool> sendProblem(Entry::Problem problem);
 
-    void onGone(std::function<void()> callback);
-    bool gone() const;
-    /// True once a part of the answer has been sent.
+    void onDisconnect(std::function<void()> callback);
+    bool disconnected() const;
+    /// True once a part of the response was sent.
     bool started() const
     {
         return started_;
@@ -47,7 +47,7 @@
     using Caller = Entry::Exchange *;
     using Peer = std::shared_ptr<Peers::IncomingCall>;
 
-    std::variant<Caller, Peer> way_;
+    std::variant<Caller, Peer> receiver_;
     bool started_ = false;
 };
 
--- a/Source/Core/Gateway/RoutingTable.h
+++ b/Source/Core/Gateway/RoutingTable.h
@@ -20,27 +20,27 @@
     std::string address;
 };
 
-/// Another instance of the system, or this one.
+/// An instance of the system, including this one.
 struct PeerEntry
 {
     Common::InstanceId id;
     Common::RegionName region;
-    /// 0 while it has not been heard of.
+    /// 0 while it is unknown.
     Common::Incarnation incarnation = 0;
     std::string httpAddress;
-    /// Takes new work.
+    /// Accepts new requests.
     bool usable = false;
-    /// The members of its region hold it to be dead.
-    bool gone = false;
+    /// The failure detection of its region considers it dead.
+    bool dead = false;
     /// Null for this instance.
     std::shared_ptr<Peers::ChannelClient> channel;
 };
 
-/// What the path of a request looks up. Immutable; replaced as a whole when any of it changes.
+/// Lookup data for request processing. Immutable; replaced as a whole on any change.
 struct RoutingTable
 {
-    Common::ConfigurationNumber number = 0;
-    /// Null until the first version is in force.
+    Common::ConfigurationNumber configurationNumber = 0;
+    /// Null until the first version is active.
     std::shared_ptr<const Configuration::Configuration> configuration;
     std::map<Common::EndpointId, EndpointEntry> endpoints;
     std::map<Common::InstanceId, PeerEntry> peers;
