--- a/Source/Core/Gateway/CallPlan.cpp
+++ b/Source/Core/Gateway/CallPlan.cpp
@@ -175,7 +175,8 @@
     }
     facts.allowedRegions = allowedRegions(
         configuration, *configuration.residencyRule(route.residency), requestRule, callerHome);
-    facts.forwardedFrom = incoming.forwarded ? incoming.forwarded->fromRegion : Common::RegionName();
+    facts.forwardedFrom =
+        incoming.forwarded ? incoming.forwarded->fromRegion : Common::RegionName();
 
     const auto priorityName =
         draft.headers.priority ? C::PriorityName(*draft.headers.priority) : route.priority;
