--- a/Source/Core/Dispatch/EndpointTable.h
+++ b/Source/Core/Dispatch/EndpointTable.h
@@ -15,9 +15,9 @@
 #include "Dispatch/LoadEstimate.h"
 #include "Dispatch/LoadReports.h"
 #include "Dispatch/Options.h"
+#include "Dispatch/PrefillQueue.h"
 #include "Dispatch/PrefixCache.h"
 #include "Dispatch/RateLimit.h"
-#include "Dispatch/ReadingQueue.h"
 #include "Dispatch/Util.h"
 
 namespace LaburnumChute::Dispatch {
--- a/Source/Core/Dispatch/ReadingQueue.cpp
+++ b/Source/Core/Dispatch/PrefillQueue.cpp
@@ -1,4 +1,4 @@
-#include "Dispatch/ReadingQueue.h"
+#include "Dispatch/PrefillQueue.h"
 
 #include <algorithm>
 #include <utility>
--- a/Source/Core/Dispatch/Scheduler.h
+++ b/Source/Core/Dispatch/Scheduler.h
@@ -15,8 +15,8 @@
 #include "Dispatch/Facts.h"
 #include "Dispatch/Options.h"
 #include "Dispatch/Placement.h"
-#include "Dispatch/RegionRooms.h"
 #include "Dispatch/RetryBudget.h"
+#include "Dispatch/SpareCapacity.h"
 
 namespace LaburnumChute::Dispatch {
 
--- a/Source/Core/Dispatch/RegionRooms.cpp
+++ b/Source/Core/Dispatch/SpareCapacity.cpp
@@ -1,4 +1,4 @@
-#include "Dispatch/RegionRooms.h"
+#include "Dispatch/SpareCapacity.h"
 
 #include <algorithm>
 #include <cmath>
--- a/Source/UnitTests/Dispatch/PrefillQueueTest.cpp
+++ b/Source/UnitTests/Dispatch/PrefillQueueTest.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "Dispatch/ReadingQueue.h"
+#include "Dispatch/PrefillQueue.h"
 
 namespace LaburnumChute::Dispatch {
 
