--- a/Source/Core/Gateway/CallRunner.cpp
+++ b/Source/Core/Gateway/CallRunner.cpp
@@ -151,7 +151,7 @@
     submission.deadline = plan_.deadline;
     const auto outcome = co_await context_.ledger.begin(submission);
     if (const auto *proceed = std::get_if<L::Proceed>(&outcome)) {
-        ledgerAttempt_ = proceed->attempt;
+        ledgerAttempt_ = proceed->reservation;
         co_return true;
     }
     if (const auto *replay = std::get_if<L::ReplayAnswer>(&outcome)) {
--- a/Source/Core/Gateway/CallRunner.h
+++ b/Source/Core/Gateway/CallRunner.h
@@ -123,8 +123,8 @@
     std::unique_ptr<Dispatcher::Ticket> ticket_;
     std::unique_ptr<Endpoints::EndpointStream> stream_;
     std::unique_ptr<Peers::OutgoingCall> outgoing_;
-    std::optional<Ledger::Attempt> ledgerAttempt_;
-    std::optional<Ledger::Dispatch> ledgerDispatch_;
+    std::optional<Ledger::Reservation> ledgerAttempt_;
+    std::optional<Ledger::Attempt> ledgerDispatch_;
     std::optional<Entry::WholeAnswer> whole_;
     std::optional<Entry::StreamContinuation> continuation_;
     Ledger::KeptAnswer kept_;
--- a/Source/Core/Gateway/LedgerDesk.cpp
+++ b/Source/Core/Gateway/LedgerDesk.cpp
@@ -29,27 +29,28 @@
     });
 }
 
-asio::awaitable<Common::Result<L::Dispatch>> LedgerDesk::dispatched(const L::Attempt &attempt)
+asio::awaitable<Common::Result<L::Attempt>> LedgerDesk::dispatched(const L::Reservation &attempt)
 {
     return ask(
         [attempt](L::Ledger &ledger, Common::Time now) { return ledger.dispatched(attempt, now); });
 }
 
-asio::awaitable<Common::Result<void>> LedgerDesk::notStarted(const L::Dispatch &dispatch)
+asio::awaitable<Common::Result<void>> LedgerDesk::notStarted(const L::Attempt &dispatch)
 {
     return ask([dispatch](L::Ledger &ledger, Common::Time now) {
         return ledger.notStarted(dispatch, now);
     });
 }
 
-asio::awaitable<Common::Result<void>> LedgerDesk::abandonedBeforeDispatch(const L::Attempt &attempt)
+asio::awaitable<Common::Result<void>>
+LedgerDesk::abandonedBeforeDispatch(const L::Reservation &attempt)
 {
     return ask([attempt](L::Ledger &ledger, Common::Time now) {
         return ledger.abandonedBeforeDispatch(attempt, now);
     });
 }
 
-asio::awaitable<Common::Result<void>> LedgerDesk::finished(const L::Dispatch &dispatch,
+asio::awaitable<Common::Result<void>> LedgerDesk::finished(const L::Attempt &dispatch,
                                                            const L::KeptAnswer &answer)
 {
     return ask([dispatch, answer](L::Ledger &ledger, Common::Time now) {
@@ -57,7 +58,7 @@
     });
 }
 
-asio::awaitable<Common::Result<void>> LedgerDesk::lost(const L::Dispatch &dispatch)
+asio::awaitable<Common::Result<void>> LedgerDesk::lost(const L::Attempt &dispatch)
 {
     return ask(
         [dispatch](L::Ledger &ledger, Common::Time now) { return ledger.lost(dispatch, now); });
--- a/Source/Core/Ledger/Ledger.cpp
+++ b/Source/Core/Ledger/Ledger.cpp
@@ -148,20 +148,20 @@
     record.bodyFingerprint = submission.bodyFingerprint;
     record.orderFingerprint = submission.orderFingerprint;
     record.deadline = submission.deadline;
-    record.attemptNumber = ++lastNumber_;
-    const Attempt attempt{submission.key.sequence, record.attemptNumber};
-    records_.emplace(attempt.sequence, std::move(record));
+    record.reservationNumber = ++lastNumber_;
+    const Reservation reservation{submission.key.sequence, record.reservationNumber};
+    records_.emplace(reservation.sequence, std::move(record));
     ++openCount_;
     ++counts_.begun;
     const DuplicateHint hint{submission.orderFingerprint, submission.key, false};
     hints_.note(hint, now);
     hintsToTell_.push_back(hint);
-    return Proceed{attempt};
+    return Proceed{reservation};
 }
 
-Common::Result<Dispatch> Ledger::dispatched(const Attempt &attempt, Common::Time now)
+Common::Result<Attempt> Ledger::dispatched(const Reservation &reservation, Common::Time now)
 {
-    Record *record = findAttempt(attempt, Phase::Waiting);
+    Record *record = findReservation(reservation, Phase::Waiting);
     if (record == nullptr) {
         return staleReport();
     }
@@ -171,14 +171,14 @@
                                  "the deadline passed before the request was dispatched");
     }
     record->phase = Phase::Running;
-    record->dispatchNumber = ++lastNumber_;
+    record->attemptNumber = ++lastNumber_;
     ++counts_.dispatched;
-    return Dispatch{attempt, record->dispatchNumber};
+    return Attempt{reservation, record->attemptNumber};
 }
 
-Common::Result<void> Ledger::notStarted(const Dispatch &dispatch, Common::Time)
+Common::Result<void> Ledger::notStarted(const Attempt &attempt, Common::Time)
 {
-    Record *record = findDispatch(dispatch);
+    Record *record = findAttempt(attempt);
     if (record == nullptr) {
         return staleReport();
     }
@@ -186,9 +186,10 @@
     return {};
 }
 
-Common::Result<void> Ledger::abandonedBeforeDispatch(const Attempt &attempt, Common::Time now)
+Common::Result<void> Ledger::abandonedBeforeDispatch(const Reservation &reservation,
+                                                     Common::Time now)
 {
-    const Record *record = findAttempt(attempt, Phase::Waiting);
+    const Record *record = findReservation(reservation, Phase::Waiting);
     if (record == nullptr) {
         return staleReport();
     }
@@ -196,9 +197,9 @@
     return {};
 }
 
-Common::Result<void> Ledger::finished(const Dispatch &dispatch, KeptAnswer answer, Common::Time now)
+Common::Result<void> Ledger::finished(const Attempt &attempt, KeptAnswer answer, Common::Time now)
 {
-    Record *record = findDispatch(dispatch);
+    Record *record = findAttempt(attempt);
     if (record == nullptr) {
         return staleReport();
     }
@@ -209,9 +210,9 @@
     return {};
 }
 
-Common::Result<void> Ledger::lost(const Dispatch &dispatch, Common::Time now)
+Common::Result<void> Ledger::lost(const Attempt &attempt, Common::Time now)
 {
-    Record *record = findDispatch(dispatch);
+    Record *record = findAttempt(attempt);
     if (record == nullptr) {
         return staleReport();
     }
@@ -413,20 +414,20 @@
             {"refused", counts_.refused}};
 }
 
-Ledger::Record *Ledger::findAttempt(const Attempt &attempt, Phase phase)
+Ledger::Record *Ledger::findReservation(const Reservation &reservation, Phase phase)
 {
-    const auto found = records_.find(attempt.sequence);
-    if (found == records_.end() || found->second.attemptNumber != attempt.number
+    const auto found = records_.find(reservation.sequence);
+    if (found == records_.end() || found->second.reservationNumber != reservation.number
         || found->second.phase != phase) {
         return nullptr;
     }
     return &found->second;
 }
 
-Ledger::Record *Ledger::findDispatch(const Dispatch &dispatch)
+Ledger::Record *Ledger::findAttempt(const Attempt &attempt)
 {
-    Record *record = findAttempt(dispatch.attempt, Phase::Running);
-    if (record == nullptr || record->dispatchNumber != dispatch.number) {
+    Record *record = findReservation(attempt.reservation, Phase::Running);
+    if (record == nullptr || record->attemptNumber != attempt.number) {
         return nullptr;
     }
     return record;
--- a/Source/Core/Ledger/Ledger.h
+++ b/Source/Core/Ledger/Ledger.h
@@ -63,21 +63,21 @@
     /// with DeadlineExceeded when the deadline has passed (a process that was frozen while the
     /// request waited finds that out here) and with Conflict when the attempt holds the key no
     /// more; nothing may be sent then. The key is released after DeadlineExceeded.
-    Common::Result<Dispatch> dispatched(const Attempt &attempt, Common::Time now);
+    Common::Result<Attempt> dispatched(const Reservation &reservation, Common::Time now);
 
     /// No byte has left, or the endpoint said that it had not begun. The attempt holds its key
     /// again and may be dispatched once more or abandoned.
-    Common::Result<void> notStarted(const Dispatch &dispatch, Common::Time now);
+    Common::Result<void> notStarted(const Attempt &attempt, Common::Time now);
 
     /// The request will not be dispatched: its caller cancelled it, or no endpoint was found. The
     /// key may be used again.
-    Common::Result<void> abandonedBeforeDispatch(const Attempt &attempt, Common::Time now);
+    Common::Result<void> abandonedBeforeDispatch(const Reservation &reservation, Common::Time now);
 
     /// The endpoint answered; the answer is kept.
-    Common::Result<void> finished(const Dispatch &dispatch, KeptAnswer answer, Common::Time now);
+    Common::Result<void> finished(const Attempt &attempt, KeptAnswer answer, Common::Time now);
 
     /// The outcome cannot be learnt any more: the connection closed or fell silent. For good.
-    Common::Result<void> lost(const Dispatch &dispatch, Common::Time now);
+    Common::Result<void> lost(const Attempt &attempt, Common::Time now);
 
     /// An order that a peer has begun, or withdrawn.
     void learn(const DuplicateHint &hint, Common::Time now);
@@ -133,8 +133,8 @@
         std::uint64_t orderFingerprint = 0;
         std::optional<Common::Time> deadline;
         Phase phase = Phase::Waiting;
+        std::uint64_t reservationNumber = 0;
         std::uint64_t attemptNumber = 0;
-        std::uint64_t dispatchNumber = 0;
         /// Set in phase Ran while the body is kept.
         std::shared_ptr<const KeptAnswer> answer;
     };
@@ -160,8 +160,8 @@
     void settle(const Record &record, Common::Time now);
     void addYoungestAnswers(Handover &handover) const;
 
-    Record *findAttempt(const Attempt &attempt, Phase phase);
-    Record *findDispatch(const Dispatch &dispatch);
+    Record *findReservation(const Reservation &reservation, Phase phase);
+    Record *findAttempt(const Attempt &attempt);
     bool ownKey(const IdempotencyKey &key) const;
     bool minted(const IdempotencyKey &key) const;
     Common::Time issuedAt(const IdempotencyKey &key) const;
--- a/Source/Core/Ledger/LedgerTypes.h
+++ b/Source/Core/Ledger/LedgerTypes.h
@@ -81,27 +81,27 @@
 /// The hold of one submission on its key, from begin() until the key is released or the outcome is
 /// recorded. The number is never given twice, so that a late report on an earlier submission does
 /// not touch the present one.
-struct Attempt
+struct Reservation
 {
     std::uint64_t sequence = 0;
     std::uint64_t number = 0;
 
-    bool operator==(const Attempt &) const = default;
+    bool operator==(const Reservation &) const = default;
 };
 
 /// One sending of an attempt to one endpoint; what happened to it is reported with this.
-struct Dispatch
+struct Attempt
 {
-    Attempt attempt;
+    Reservation reservation;
     std::uint64_t number = 0;
 
-    bool operator==(const Dispatch &) const = default;
+    bool operator==(const Attempt &) const = default;
 };
 
 /// The request may wait in the queue. dispatched() must be called before its first byte leaves.
 struct Proceed
 {
-    Attempt attempt;
+    Reservation reservation;
 };
 
 /// The request ran under this key; this is its answer.
--- a/Source/UnitTests/Ledger/HandoverTest.cpp
+++ b/Source/UnitTests/Ledger/HandoverTest.cpp
@@ -38,10 +38,10 @@
         return leaving_.mint(Customer, now_).value();
     }
 
-    Dispatch dispatch(const IdempotencyKey &key)
+    Attempt dispatch(const IdempotencyKey &key)
     {
         const auto proceed = std::get<Proceed>(leaving_.begin(submission(key), now_));
-        return leaving_.dispatched(proceed.attempt, now_).value();
+        return leaving_.dispatched(proceed.reservation, now_).value();
     }
 
     IdempotencyKey run(const std::string &body)
--- a/Source/UnitTests/Ledger/LedgerTest.cpp
+++ b/Source/UnitTests/Ledger/LedgerTest.cpp
@@ -37,12 +37,12 @@
         return {key, Customer, body, key.sequence * 1000 + body, false, std::nullopt};
     }
 
-    Attempt proceed(const Submission &submission)
+    Reservation proceed(const Submission &submission)
     {
-        return std::get<Proceed>(ledger_.begin(submission, now_)).attempt;
+        return std::get<Proceed>(ledger_.begin(submission, now_)).reservation;
     }
 
-    Dispatch dispatch(const IdempotencyKey &key)
+    Attempt dispatch(const IdempotencyKey &key)
     {
         return ledger_.dispatched(proceed(submission(key)), now_).value();
     }
@@ -62,7 +62,7 @@
         EXPECT_EQ(ledger_.claim(key, now_), RunState::Unknown);
     }
 
-    void finish(const Dispatch &dispatch, const std::string &body)
+    void finish(const Attempt &dispatch, const std::string &body)
     {
         ASSERT_TRUE(ledger_.finished(dispatch, {200, "", body}, now_));
     }
@@ -247,7 +247,7 @@
 TEST_F(LedgerTest, FullMemoryRefusesNewKeysAndForgetsNoLiveOne)
 {
     const auto spare = mint();
-    std::vector<Dispatch> sent;
+    std::vector<Attempt> sent;
     for (int i = 0; i < 4; ++i) {
         sent.push_back(dispatch(mint()));
     }
--- a/Source/UnitTests/Ledger/World.cpp
+++ b/Source/UnitTests/Ledger/World.cpp
@@ -110,7 +110,7 @@
     const auto visitor =
         Overloaded{[&](const Proceed &proceed) {
                        submitted.at = life;
-                       submitted.attempt = proceed.attempt;
+                       submitted.reservation = proceed.reservation;
                        submitted.phase = Phase::Holding;
                        return std::string("proceed");
                    },
@@ -148,7 +148,7 @@
 std::string World::dispatch(Index submission)
 {
     auto &submitted = submissions_[submission];
-    const auto dispatch = lives_[submitted.at].ledger.dispatched(submitted.attempt, now_);
+    const auto dispatch = lives_[submitted.at].ledger.dispatched(submitted.reservation, now_);
     if (dispatch) {
         submitted.phase = Phase::Sent;
         submitted.sendings.push_back(sendings_.size());
@@ -165,7 +165,7 @@
 std::string World::abandon(Index submission)
 {
     auto &submitted = submissions_[submission];
-    if (!lives_[submitted.at].ledger.abandonedBeforeDispatch(submitted.attempt, now_)) {
+    if (!lives_[submitted.at].ledger.abandonedBeforeDispatch(submitted.reservation, now_)) {
         return "refused";
     }
     return conclude(submission, RunState::NotRun);
--- a/Source/UnitTests/Ledger/World.h
+++ b/Source/UnitTests/Ledger/World.h
@@ -66,7 +66,7 @@
         Index entry = 0;
         Index at = 0;
         Phase phase = Phase::Over;
-        Attempt attempt;
+        Reservation reservation;
         std::vector<Index> sendings;
         std::optional<Common::RunState> told;
         /// A "not run" was said that a run of this submission would belie.
@@ -76,7 +76,7 @@
     struct Sending
     {
         Index submission = 0;
-        Dispatch dispatch;
+        Attempt dispatch;
         SendingState state = SendingState::OnWay;
     };
     struct Life
