--- a/Source/Core/Gateway/CallProblems.cpp
+++ b/Source/Core/Gateway/CallProblems.cpp
@@ -48,15 +48,15 @@
     return Common::ErrorCode::Unavailable;
 }
 
-unsigned statusOf(L::RefusalReason reason)
+unsigned statusOf(L::RejectionReason reason)
 {
     switch (reason) {
-    case L::RefusalReason::OtherBody:
+    case L::RejectionReason::OtherBody:
         return 422;
-    case L::RefusalReason::LedgerFull:
-    case L::RefusalReason::Closing:
+    case L::RejectionReason::LedgerFull:
+    case L::RejectionReason::Closing:
         return 503;
-    case L::RefusalReason::OwnerUnreachable:
+    case L::RejectionReason::OwnerUnreachable:
         return 503;
     default:
         return 409;
@@ -82,7 +82,7 @@
     return problem;
 }
 
-Entry::Problem onceProblem(const L::Refused &refused)
+Entry::Problem onceProblem(const L::Rejected &refused)
 {
     Entry::Problem problem;
     problem.status = statusOf(refused.reason);
--- a/Source/Core/Gateway/CallProblems.h
+++ b/Source/Core/Gateway/CallProblems.h
@@ -11,7 +11,7 @@
 Entry::Problem refusalProblem(const Decisions::Refuse &refusal);
 
 /// The problem document for a refusal of the ledger.
-Entry::Problem onceProblem(const Ledger::Refused &refused);
+Entry::Problem onceProblem(const Ledger::Rejected &refused);
 
 /// The problem document for a failure that another instance reports.
 Entry::Problem problemOf(const Peers::AnswerFailure &failure);
--- a/Source/Core/Gateway/CallRunner.cpp
+++ b/Source/Core/Gateway/CallRunner.cpp
@@ -167,7 +167,7 @@
         problem.run = Common::RunState::Unknown;
         problem.retryAfter = Common::seconds(1);
         co_await answerProblem(std::move(problem));
-    } else if (const auto *refused = std::get_if<L::Refused>(&outcome)) {
+    } else if (const auto *refused = std::get_if<L::Rejected>(&outcome)) {
         co_await answerProblem(onceProblem(*refused));
     } else {
         co_await runAtOwner(std::get<L::OwnedElsewhere>(outcome));
@@ -449,7 +449,7 @@
     failure.code = Common::ErrorCode::DeadlineExceeded;
     failure.run = L::OwnerUnreachableClaim;
     failure.detail =
-        "Idempotency-Key: " + std::string(L::toString(L::RefusalReason::OwnerUnreachable));
+        "Idempotency-Key: " + std::string(L::toString(L::RejectionReason::OwnerUnreachable));
     return failure;
 }
 
--- a/Source/Core/Gateway/CallRunner.h
+++ b/Source/Core/Gateway/CallRunner.h
@@ -88,7 +88,7 @@
                                  const RoutingTable &table) const;
     /// Passes the answer of the instance that can speak for the key, or gives the problem to tell.
     asio::awaitable<std::optional<Entry::Problem>> askAnswerer(const PeerEntry *answerer,
-                                                               Ledger::RefusalReason otherwise);
+                                                               Ledger::RejectionReason otherwise);
     asio::awaitable<void> releaseKey();
     static Peers::AnswerFailure ownerSilent();
     /// Forwards the request and passes the answer on; the failure when nothing was passed on.
--- a/Source/Core/Gateway/CallRunnerForward.cpp
+++ b/Source/Core/Gateway/CallRunnerForward.cpp
@@ -171,12 +171,12 @@
 }
 
 asio::awaitable<std::optional<Entry::Problem>> CallRunner::askAnswerer(const PeerEntry *answerer,
-                                                                       L::RefusalReason otherwise)
+                                                                       L::RejectionReason otherwise)
 {
     Entry::Problem problem;
     problem.run = L::OwnerUnreachableClaim;
     if (answerer == nullptr || !answerer->channel || arrival_.forwarded) {
-        L::Refused refused;
+        L::Rejected refused;
         refused.run = L::OwnerUnreachableClaim;
         refused.reason = otherwise;
         co_return onceProblem(refused);
@@ -213,11 +213,11 @@
     const auto *owner = table->peer(owned.owner);
     const bool ended = owner == nullptr || owner->gone || owner->incarnation > owned.incarnation;
     const auto *answerer = ended ? successorOf(owned, *table) : owner;
-    auto problem = co_await askAnswerer(answerer, ended ? L::RefusalReason::IncarnationGone
-                                                        : L::RefusalReason::OwnerUnreachable);
+    auto problem = co_await askAnswerer(answerer, ended ? L::RejectionReason::IncarnationGone
+                                                        : L::RejectionReason::OwnerUnreachable);
     if (problem && neverSent_ && !ended) {
         problem =
-            co_await askAnswerer(successorOf(owned, *table), L::RefusalReason::OwnerUnreachable);
+            co_await askAnswerer(successorOf(owned, *table), L::RejectionReason::OwnerUnreachable);
     }
     if (problem) {
         co_await answerProblem(std::move(*problem));
--- a/Source/Core/Ledger/Handover.cpp
+++ b/Source/Core/Ledger/Handover.cpp
@@ -103,25 +103,25 @@
     }
     switch (stateIn(found->second, key)) {
     case KeyState::NotMinted:
-        return Refused{RunState::Unknown, RefusalReason::NotMinted, std::nullopt};
+        return Rejected{RunState::Unknown, RejectionReason::NotMinted, std::nullopt};
     case KeyState::Expired:
-        return Refused{RunState::NotRun, RefusalReason::Closing, std::nullopt};
+        return Rejected{RunState::NotRun, RejectionReason::Closing, std::nullopt};
     case KeyState::Forgotten:
-        return Refused{RunState::Unknown, RefusalReason::IncarnationGone, std::nullopt};
+        return Rejected{RunState::Unknown, RejectionReason::IncarnationGone, std::nullopt};
     default:
         break;
     }
     const auto &outcome = found->second.outcomes.at(key.sequence);
     if (outcome.bodyFingerprint != submission.bodyFingerprint) {
-        return Refused{RunState::NotRun, RefusalReason::OtherBody, std::nullopt};
+        return Rejected{RunState::NotRun, RejectionReason::OtherBody, std::nullopt};
     }
     if (outcome.answer) {
         return ReplayAnswer{outcome.answer};
     }
     if (outcome.ran) {
-        return Refused{RunState::Ran, RefusalReason::AnswerNotKept, std::nullopt};
+        return Rejected{RunState::Ran, RejectionReason::AnswerNotKept, std::nullopt};
     }
-    return Refused{RunState::Unknown, RefusalReason::OutcomeUnknown, std::nullopt};
+    return Rejected{RunState::Unknown, RejectionReason::OutcomeUnknown, std::nullopt};
 }
 
 std::optional<KeyState> HandoverStore::state(const IdempotencyKey &key) const
--- a/Source/Core/Ledger/Ledger.cpp
+++ b/Source/Core/Ledger/Ledger.cpp
@@ -11,9 +11,9 @@
 using Common::ErrorCode;
 using Common::RunState;
 
-Refused refuse(RunState run, RefusalReason reason)
+Rejected refuse(RunState run, RejectionReason reason)
 {
-    return Refused{run, reason, std::nullopt};
+    return Rejected{run, reason, std::nullopt};
 }
 
 tl::unexpected<Common::Error> staleReport()
@@ -56,7 +56,7 @@
     if (std::holds_alternative<ReplayAnswer>(outcome)) {
         ++counts_.replayed;
     }
-    if (std::holds_alternative<Refused>(outcome)) {
+    if (std::holds_alternative<Rejected>(outcome)) {
         ++counts_.refused;
     }
     return outcome;
@@ -66,7 +66,7 @@
 {
     const auto &key = submission.key;
     if (key.customer != submission.customer) {
-        return refuse(RunState::NotRun, RefusalReason::OtherCustomer);
+        return refuse(RunState::NotRun, RejectionReason::OtherCustomer);
     }
     if (!ownKey(key)) {
         return judgeForeign(submission);
@@ -74,7 +74,7 @@
     // Nobody who was given a key comes here. Were two processes ever to start under one instance id
     // in one millisecond, the key may be the other one's, so that "not run" would be a guess.
     if (!minted(key)) {
-        return refuse(RunState::Unknown, RefusalReason::NotMinted);
+        return refuse(RunState::Unknown, RejectionReason::NotMinted);
     }
     const auto found = records_.find(key.sequence);
     if (found != records_.end()) {
@@ -92,7 +92,7 @@
     // A replaced instance remembers nothing of its predecessor's keys. Saying "not run" here is the
     // fault that this library exists to prevent: the predecessor may have run the request.
     if (key.owner == identity_.instance) {
-        return refuse(RunState::Unknown, RefusalReason::IncarnationGone);
+        return refuse(RunState::Unknown, RejectionReason::IncarnationGone);
     }
     return OwnedElsewhere{key.owner, key.incarnation};
 }
@@ -100,7 +100,7 @@
 BeginOutcome Ledger::judgeKnown(const Record &record, const Submission &submission) const
 {
     if (record.bodyFingerprint != submission.bodyFingerprint) {
-        return refuse(RunState::NotRun, RefusalReason::OtherBody);
+        return refuse(RunState::NotRun, RejectionReason::OtherBody);
     }
     switch (record.phase) {
     case Phase::Waiting:
@@ -110,11 +110,11 @@
         if (record.answer) {
             return ReplayAnswer{record.answer};
         }
-        return refuse(RunState::Ran, RefusalReason::AnswerNotKept);
+        return refuse(RunState::Ran, RejectionReason::AnswerNotKept);
     case Phase::Lost:
         break;
     }
-    return refuse(RunState::Unknown, RefusalReason::OutcomeUnknown);
+    return refuse(RunState::Unknown, RejectionReason::OutcomeUnknown);
 }
 
 BeginOutcome Ledger::judgeFresh(const Submission &submission, Common::Time now)
@@ -123,20 +123,20 @@
     case KeyState::Unused:
         break;
     case KeyState::Expired:
-        return refuse(RunState::NotRun, RefusalReason::Expired);
+        return refuse(RunState::NotRun, RejectionReason::Expired);
     default:
-        return refuse(RunState::Unknown, RefusalReason::OutcomeUnknown);
+        return refuse(RunState::Unknown, RejectionReason::OutcomeUnknown);
     }
     if (closed_) {
-        return refuse(RunState::NotRun, RefusalReason::Closing);
+        return refuse(RunState::NotRun, RejectionReason::Closing);
     }
     // A live record is never dropped to make room: its key would look unused and run again.
     if (!hasRoom()) {
-        return refuse(RunState::NotRun, RefusalReason::LedgerFull);
+        return refuse(RunState::NotRun, RejectionReason::LedgerFull);
     }
     const auto earlier = hints_.earlierKey(submission.orderFingerprint, now);
     if (earlier && *earlier != submission.key && !submission.duplicateIntended) {
-        return Refused{RunState::NotRun, RefusalReason::DuplicateOrder, earlier};
+        return Rejected{RunState::NotRun, RejectionReason::DuplicateOrder, earlier};
     }
     return open(submission, now);
 }
--- a/Source/Core/Ledger/LedgerTypes.cpp
+++ b/Source/Core/Ledger/LedgerTypes.cpp
@@ -7,30 +7,30 @@
     return answer.body.size() + answer.contentType.size();
 }
 
-std::string_view toString(RefusalReason reason)
+std::string_view toString(RejectionReason reason)
 {
     switch (reason) {
-    case RefusalReason::NotMinted:
+    case RejectionReason::NotMinted:
         return "key-not-minted";
-    case RefusalReason::OtherCustomer:
+    case RejectionReason::OtherCustomer:
         return "key-of-other-customer";
-    case RefusalReason::Expired:
+    case RejectionReason::Expired:
         return "key-expired";
-    case RefusalReason::OtherBody:
+    case RejectionReason::OtherBody:
         return "key-used-with-other-body";
-    case RefusalReason::DuplicateOrder:
+    case RejectionReason::DuplicateOrder:
         return "duplicate-order";
-    case RefusalReason::AnswerNotKept:
+    case RejectionReason::AnswerNotKept:
         return "answer-not-kept";
-    case RefusalReason::OutcomeUnknown:
+    case RejectionReason::OutcomeUnknown:
         return "outcome-unknown";
-    case RefusalReason::IncarnationGone:
+    case RejectionReason::IncarnationGone:
         return "key-owner-gone";
-    case RefusalReason::OwnerUnreachable:
+    case RejectionReason::OwnerUnreachable:
         return "key-owner-unreachable";
-    case RefusalReason::LedgerFull:
+    case RejectionReason::LedgerFull:
         return "ledger-full";
-    case RefusalReason::Closing:
+    case RejectionReason::Closing:
         return "closing";
     }
     return "outcome-unknown";
--- a/Source/Core/Ledger/LedgerTypes.h
+++ b/Source/Core/Ledger/LedgerTypes.h
@@ -116,7 +116,7 @@
 {
 };
 
-enum class RefusalReason {
+enum class RejectionReason {
     /// No key that this incarnation has issued: a forged or altered one.
     NotMinted,
     /// Issued to another customer.
@@ -142,13 +142,13 @@
 };
 
 /// "ledger-full" and so on: for problem documents and dumps.
-std::string_view toString(RefusalReason reason);
+std::string_view toString(RejectionReason reason);
 
 /// The request is not run now. What `run` says is what the answer to the caller must say.
-struct Refused
+struct Rejected
 {
     Common::RunState run = Common::RunState::Unknown;
-    RefusalReason reason = RefusalReason::OutcomeUnknown;
+    RejectionReason reason = RejectionReason::OutcomeUnknown;
     /// With DuplicateOrder: the key of the earlier order.
     std::optional<IdempotencyKey> earlierKey;
 };
@@ -164,7 +164,7 @@
     Common::Incarnation incarnation = 0;
 };
 
-using BeginOutcome = std::variant<Proceed, ReplayAnswer, StillRunning, Refused, OwnedElsewhere>;
+using BeginOutcome = std::variant<Proceed, ReplayAnswer, StillRunning, Rejected, OwnedElsewhere>;
 
 /// What is known of a key here.
 enum class KeyState {
--- a/Source/UnitTests/Ledger/HandoverTest.cpp
+++ b/Source/UnitTests/Ledger/HandoverTest.cpp
@@ -57,10 +57,10 @@
         ASSERT_TRUE(successor_.adopt(leaving_.handOver(now_).value(), now_));
     }
 
-    void expectRefused(const Submission &submission, RunState run, RefusalReason reason)
+    void expectRefused(const Submission &submission, RunState run, RejectionReason reason)
     {
         const auto outcome = successor_.begin(submission, now_);
-        const auto *refused = std::get_if<Refused>(&outcome);
+        const auto *refused = std::get_if<Rejected>(&outcome);
         ASSERT_NE(refused, nullptr);
         EXPECT_EQ(refused->run, run);
         EXPECT_EQ(refused->reason, reason);
@@ -86,10 +86,10 @@
     const auto sent = dispatch(running);
     handOver();
     EXPECT_EQ(replayed(ran), "truck 4");
-    expectRefused(submission(ran, 2), RunState::NotRun, RefusalReason::OtherBody);
-    expectRefused(submission(unused), RunState::NotRun, RefusalReason::Closing);
+    expectRefused(submission(ran, 2), RunState::NotRun, RejectionReason::OtherBody);
+    expectRefused(submission(unused), RunState::NotRun, RejectionReason::Closing);
     EXPECT_EQ(successor_.claim(unused, now_), RunState::NotRun);
-    expectRefused(submission(running), RunState::Unknown, RefusalReason::OutcomeUnknown);
+    expectRefused(submission(running), RunState::Unknown, RejectionReason::OutcomeUnknown);
     ASSERT_TRUE(leaving_.finished(sent, {200, "", "truck 5"}, now_));
     handOver();
     EXPECT_EQ(replayed(running), "truck 5");
@@ -112,8 +112,8 @@
     ASSERT_EQ(leaving_.recordCount(), 0);
     const auto young = mint();
     handOver();
-    expectRefused(submission(old), RunState::Unknown, RefusalReason::IncarnationGone);
-    expectRefused(submission(young), RunState::NotRun, RefusalReason::Closing);
+    expectRefused(submission(old), RunState::Unknown, RejectionReason::IncarnationGone);
+    expectRefused(submission(young), RunState::NotRun, RejectionReason::Closing);
 }
 
 TEST_F(HandoverTest, YoungestAnswersGoFirst)
@@ -121,7 +121,7 @@
     const auto first = run(std::string(20, 'a'));
     const auto second = run(std::string(20, 'b'));
     handOver();
-    expectRefused(submission(first), RunState::Ran, RefusalReason::AnswerNotKept);
+    expectRefused(submission(first), RunState::Ran, RejectionReason::AnswerNotKept);
     EXPECT_EQ(replayed(second), std::string(20, 'b'));
 }
 
@@ -154,7 +154,7 @@
     handOver();
     EXPECT_FALSE(successor_.adopt(first, now_));
     altered.issuedAfter += 1h;
-    expectRefused(submission(altered), RunState::Unknown, RefusalReason::NotMinted);
+    expectRefused(submission(altered), RunState::Unknown, RejectionReason::NotMinted);
 }
 
 TEST_F(HandoverTest, TravelsBetweenProcesses)
@@ -172,7 +172,7 @@
     in(received);
     ASSERT_TRUE(successor_.adopt(received, now_));
     EXPECT_EQ(replayed(ran), "truck 4");
-    expectRefused(submission(unused), RunState::NotRun, RefusalReason::Closing);
+    expectRefused(submission(unused), RunState::NotRun, RejectionReason::Closing);
 }
 
 TEST_F(HandoverTest, EveryoneFindsTheSameSuccessor)
--- a/Source/UnitTests/Ledger/LedgerTest.cpp
+++ b/Source/UnitTests/Ledger/LedgerTest.cpp
@@ -47,10 +47,10 @@
         return ledger_.dispatched(proceed(submission(key)), now_).value();
     }
 
-    void expectRefused(const Submission &submission, RunState run, RefusalReason reason)
+    void expectRefused(const Submission &submission, RunState run, RejectionReason reason)
     {
         const auto outcome = ledger_.begin(submission, now_);
-        const auto *refused = std::get_if<Refused>(&outcome);
+        const auto *refused = std::get_if<Rejected>(&outcome);
         ASSERT_NE(refused, nullptr);
         EXPECT_EQ(refused->run, run);
         EXPECT_EQ(refused->reason, reason);
@@ -102,9 +102,9 @@
     ASSERT_TRUE(ledger_.lost(sent, now_));
     EXPECT_FALSE(ledger_.notStarted(sent, now_));
     EXPECT_FALSE(ledger_.finished(sent, {200, "", "late"}, now_));
-    expectRefused(submission(key), RunState::Unknown, RefusalReason::OutcomeUnknown);
+    expectRefused(submission(key), RunState::Unknown, RejectionReason::OutcomeUnknown);
     passTime(2h);
-    expectRefused(submission(key), RunState::Unknown, RefusalReason::OutcomeUnknown);
+    expectRefused(submission(key), RunState::Unknown, RejectionReason::OutcomeUnknown);
 }
 
 TEST_F(LedgerTest, RequestThatNeverStartedMayBeSentAgain)
@@ -170,14 +170,14 @@
 {
     const auto key = mint();
     finish(dispatch(key), "answer to body 1");
-    expectRefused(submission(key, 2), RunState::NotRun, RefusalReason::OtherBody);
+    expectRefused(submission(key, 2), RunState::NotRun, RejectionReason::OtherBody);
 }
 
 TEST_F(LedgerTest, KeyOfAnotherCustomerIsRefused)
 {
     auto order = submission(mint());
     order.customer = Common::CustomerName("club");
-    expectRefused(order, RunState::NotRun, RefusalReason::OtherCustomer);
+    expectRefused(order, RunState::NotRun, RejectionReason::OtherCustomer);
 }
 
 // Somebody changes the issue time of a key and puts a matching check behind it. The key would
@@ -187,10 +187,10 @@
     auto key = mint();
     key.issuedAfter += 1h;
     ASSERT_TRUE(IdempotencyKey::parse(key.text()));
-    expectRefused(submission(key), RunState::Unknown, RefusalReason::NotMinted);
+    expectRefused(submission(key), RunState::Unknown, RejectionReason::NotMinted);
     key = mint();
     key.sequence += 1;
-    expectRefused(submission(key), RunState::Unknown, RefusalReason::NotMinted);
+    expectRefused(submission(key), RunState::Unknown, RejectionReason::NotMinted);
 }
 
 // The instance was replaced after it had dispatched the order, and the caller resends the key to
@@ -199,10 +199,10 @@
 {
     auto key = mint();
     key.incarnation = 6;
-    expectRefused(submission(key), RunState::Unknown, RefusalReason::IncarnationGone);
+    expectRefused(submission(key), RunState::Unknown, RejectionReason::IncarnationGone);
     EXPECT_EQ(ledger_.claim(key, now_), RunState::Unknown);
     key.incarnation = 8;
-    expectRefused(submission(key), RunState::Unknown, RefusalReason::IncarnationGone);
+    expectRefused(submission(key), RunState::Unknown, RejectionReason::IncarnationGone);
 }
 
 TEST_F(LedgerTest, KeyOfAnotherInstanceIsForwarded)
@@ -223,9 +223,9 @@
     EXPECT_EQ(ledger_.state(key, now_), KeyState::Unused);
     EXPECT_EQ(ledger_.remainingLifetime(key, now_), 1ms);
     passTime(1ms);
-    expectRefused(submission(key), RunState::NotRun, RefusalReason::Expired);
+    expectRefused(submission(key), RunState::NotRun, RejectionReason::Expired);
     passTime(30min);
-    expectRefused(submission(key), RunState::Unknown, RefusalReason::OutcomeUnknown);
+    expectRefused(submission(key), RunState::Unknown, RejectionReason::OutcomeUnknown);
 }
 
 // The record of an order is dropped as soon as its answer need not be kept, while its key could
@@ -252,11 +252,11 @@
         sent.push_back(dispatch(mint()));
     }
     EXPECT_EQ(ledger_.mint(Customer, now_).error().code, ErrorCode::Overloaded);
-    expectRefused(submission(spare), RunState::NotRun, RefusalReason::LedgerFull);
+    expectRefused(submission(spare), RunState::NotRun, RejectionReason::LedgerFull);
     for (const auto &each : sent) {
         finish(each, "ran");
     }
-    expectRefused(submission(spare), RunState::NotRun, RefusalReason::LedgerFull);
+    expectRefused(submission(spare), RunState::NotRun, RejectionReason::LedgerFull);
     passTime(9min);
     EXPECT_EQ(ledger_.recordCount(), 4);
 }
@@ -267,12 +267,12 @@
     finish(dispatch(first), std::string(60, 'a'));
     const auto second = mint();
     finish(dispatch(second), std::string(60, 'b'));
-    expectRefused(submission(first), RunState::Ran, RefusalReason::AnswerNotKept);
+    expectRefused(submission(first), RunState::Ran, RejectionReason::AnswerNotKept);
     const auto kept = std::get<ReplayAnswer>(ledger_.begin(submission(second), now_));
     EXPECT_EQ(kept.answer->body, std::string(60, 'b'));
     const auto third = mint();
     finish(dispatch(third), std::string(101, 'c'));
-    expectRefused(submission(third), RunState::Ran, RefusalReason::AnswerNotKept);
+    expectRefused(submission(third), RunState::Ran, RejectionReason::AnswerNotKept);
     EXPECT_EQ(ledger_.keptAnswerBytes(), 60);
 }
 
@@ -284,9 +284,9 @@
     auto order = submission(first);
     const auto sent = ledger_.dispatched(proceed(order), now_).value();
     order.key = mint();
-    const auto refused = std::get<Refused>(ledger_.begin(order, now_));
+    const auto refused = std::get<Rejected>(ledger_.begin(order, now_));
     EXPECT_EQ(refused.run, RunState::NotRun);
-    EXPECT_EQ(refused.reason, RefusalReason::DuplicateOrder);
+    EXPECT_EQ(refused.reason, RejectionReason::DuplicateOrder);
     EXPECT_EQ(refused.earlierKey, first);
     finish(sent, "ran");
     order.duplicateIntended = true;
@@ -318,7 +318,7 @@
     };
     exchangeHints();
     order.key = peer.mint(Customer, now_).value();
-    EXPECT_EQ(std::get<Refused>(peer.begin(order, now_)).reason, RefusalReason::DuplicateOrder);
+    EXPECT_EQ(std::get<Rejected>(peer.begin(order, now_)).reason, RejectionReason::DuplicateOrder);
     ASSERT_TRUE(ledger_.abandonedBeforeDispatch(attempt, now_));
     exchangeHints();
     EXPECT_TRUE(std::holds_alternative<Proceed>(peer.begin(order, now_)));
@@ -332,7 +332,7 @@
     const auto attempt = proceed(submission(used));
     ledger_.close();
     EXPECT_EQ(ledger_.mint(Customer, now_).error().code, ErrorCode::Unavailable);
-    expectRefused(submission(unused), RunState::NotRun, RefusalReason::Closing);
+    expectRefused(submission(unused), RunState::NotRun, RejectionReason::Closing);
     EXPECT_EQ(ledger_.openCount(), 1);
     finish(ledger_.dispatched(attempt, now_).value(), "ran");
     EXPECT_EQ(ledger_.openCount(), 0);
--- a/Source/UnitTests/Ledger/World.cpp
+++ b/Source/UnitTests/Ledger/World.cpp
@@ -119,7 +119,7 @@
                        return conclude(submission, RunState::Ran);
                    },
                    [&](const StillRunning &) { return conclude(submission, RunState::Unknown); },
-                   [&](const Refused &refused) { return conclude(submission, refused.run); },
+                   [&](const Rejected &refused) { return conclude(submission, refused.run); },
                    [&](const OwnedElsewhere &) {
                        if (forwarded) {
                            return conclude(submission, OwnerUnreachableClaim);
