--- a/Source/Core/Gateway/CallRunner.cpp
+++ b/Source/Core/Gateway/CallRunner.cpp
@@ -447,7 +447,7 @@
     Peers::AnswerFailure failure;
     failure.status = 504;
     failure.code = Common::ErrorCode::DeadlineExceeded;
-    failure.run = L::OwnerUnreachableClaim;
+    failure.run = L::OwnerUnreachableRunState;
     failure.detail =
         "Idempotency-Key: " + std::string(L::toString(L::RejectionReason::OwnerUnreachable));
     return failure;
--- a/Source/Core/Gateway/CallRunnerForward.cpp
+++ b/Source/Core/Gateway/CallRunnerForward.cpp
@@ -174,10 +174,10 @@
                                                                        L::RejectionReason otherwise)
 {
     Entry::Problem problem;
-    problem.run = L::OwnerUnreachableClaim;
+    problem.run = L::OwnerUnreachableRunState;
     if (answerer == nullptr || !answerer->channel || arrival_.forwarded) {
         L::Rejected refused;
-        refused.run = L::OwnerUnreachableClaim;
+        refused.run = L::OwnerUnreachableRunState;
         refused.reason = otherwise;
         co_return onceProblem(refused);
     }
@@ -199,7 +199,7 @@
         failure->code == Common::ErrorCode::Unavailable && failure->run == Common::RunState::NotRun;
     if (neverSent_) {
         // This sending did not reach the owner, but an earlier one under the key may have.
-        problem.run = L::OwnerUnreachableClaim;
+        problem.run = L::OwnerUnreachableRunState;
     }
     co_return problem;
 }
--- a/Source/Core/Gateway/LedgerDesk.cpp
+++ b/Source/Core/Gateway/LedgerDesk.cpp
@@ -79,7 +79,7 @@
 {
     return ask([hints](L::Ledger &ledger, Common::Time now) {
         for (const auto &hint : hints) {
-            ledger.learn(hint, now);
+            ledger.addPeerHint(hint, now);
         }
         return Common::Result<void>();
     });
--- a/Source/Core/Ledger/Ledger.cpp
+++ b/Source/Core/Ledger/Ledger.cpp
@@ -222,7 +222,7 @@
     return {};
 }
 
-void Ledger::learn(const DuplicateHint &hint, Common::Time now)
+void Ledger::addPeerHint(const DuplicateHint &hint, Common::Time now)
 {
     hints_.note(hint, now);
 }
--- a/Source/Core/Ledger/Ledger.h
+++ b/Source/Core/Ledger/Ledger.h
@@ -80,7 +80,7 @@
     Common::Result<void> lost(const Attempt &attempt, Common::Time now);
 
     /// An order that a peer has begun, or withdrawn.
-    void learn(const DuplicateHint &hint, Common::Time now);
+    void addPeerHint(const DuplicateHint &hint, Common::Time now);
     /// The hints to tell the peers, since the last call.
     std::vector<DuplicateHint> takeHints();
 
--- a/Source/Core/Ledger/LedgerTypes.h
+++ b/Source/Core/Ledger/LedgerTypes.h
@@ -155,7 +155,7 @@
 
 /// What the forwarding instance answers when the owner cannot be asked: the owner may have run the
 /// request or may yet do so.
-inline constexpr Common::RunState OwnerUnreachableClaim = Common::RunState::Unknown;
+inline constexpr Common::RunState OwnerUnreachableRunState = Common::RunState::Unknown;
 
 /// Only this incarnation of this instance may answer; the request may be forwarded there.
 struct OwnedElsewhere
--- a/Source/UnitTests/Ledger/LedgerTest.cpp
+++ b/Source/UnitTests/Ledger/LedgerTest.cpp
@@ -313,7 +313,7 @@
     const auto attempt = proceed(order);
     const auto exchangeHints = [&] {
         for (const auto &hint : ledger_.takeHints()) {
-            peer.learn(hint, now_);
+            peer.addPeerHint(hint, now_);
         }
     };
     exchangeHints();
--- a/Source/UnitTests/Ledger/World.cpp
+++ b/Source/UnitTests/Ledger/World.cpp
@@ -122,7 +122,7 @@
                    [&](const Rejected &refused) { return conclude(submission, refused.run); },
                    [&](const OwnedElsewhere &) {
                        if (forwarded) {
-                           return conclude(submission, OwnerUnreachableClaim);
+                           return conclude(submission, OwnerUnreachableRunState);
                        }
                        submitted.phase = Phase::Forwarded;
                        return std::string("elsewhere");
@@ -141,8 +141,8 @@
 
 std::string World::giveUp(Index submission)
 {
-    tell(submission, OwnerUnreachableClaim);
-    return wordOf(OwnerUnreachableClaim);
+    tell(submission, OwnerUnreachableRunState);
+    return wordOf(OwnerUnreachableRunState);
 }
 
 std::string World::dispatch(Index submission)
