--- a/Source/Core/Ledger/DuplicateHints.cpp
+++ b/Source/Core/Ledger/DuplicateHints.cpp
@@ -8,7 +8,7 @@
 {
 }
 
-void DuplicateHints::note(const DuplicateHint &hint, Common::Time now)
+void DuplicateHints::add(const DuplicateHint &hint, Common::Time now)
 {
     if (hint.withdrawn) {
         withdraw(hint);
@@ -17,9 +17,10 @@
     if (window_ <= Common::Duration::zero() || limit_ == 0) {
         return;
     }
-    // Void arrivals count too: withdrawn orders must not make the queue grow without bound.
+    // Counts arrivals without an entry too, so that withdrawn orders cannot grow the queue without
+    // bound.
     while (arrivals_.size() >= limit_) {
-        dropOldest();
+        removeOldest();
     }
     entries_[hint.orderFingerprint] = Entry{hint.key, now};
     arrivals_.push_back(Arrival{hint.orderFingerprint, now});
@@ -28,7 +29,7 @@
 void DuplicateHints::tick(Common::Time now)
 {
     while (!arrivals_.empty() && arrivals_.front().seenAt + window_ <= now) {
-        dropOldest();
+        removeOldest();
     }
 }
 
@@ -50,7 +51,7 @@
     }
 }
 
-void DuplicateHints::dropOldest()
+void DuplicateHints::removeOldest()
 {
     const auto oldest = arrivals_.front();
     arrivals_.pop_front();
--- a/Source/Core/Ledger/DuplicateHints.h
+++ b/Source/Core/Ledger/DuplicateHints.h
@@ -11,8 +11,8 @@
 
 namespace LaburnumChute::Ledger {
 
-/// Told between instances: an order was submitted under a key, or (withdrawn) it is known now that
-/// it has not run. Losing one costs a question that is not asked, never a second run of a key.
+/// Sent between instances: an order was submitted under a key or, if withdrawn, is known not to
+/// have run. If a hint is lost, a duplicate order may go undetected, but no key runs twice.
 struct DuplicateHint
 {
     std::uint64_t orderFingerprint = 0;
@@ -21,7 +21,6 @@
 
     bool operator==(const DuplicateHint &) const = default;
 
-    /// For cereal.
     template <typename Archive>
     void serialize(Archive &archive)
     {
@@ -29,20 +28,19 @@
     }
 };
 
-/// The orders submitted lately, so that the same order under a new key is asked about before it
-/// runs.
+/// Recently submitted orders, used to detect the same order under a new key before it runs.
 ///
-/// Load pattern: an application or a clerk who got no answer submits the whole form again, and the
-/// application fetches a new key for it. Without this both orders run, each at most once, and the
-/// brass is cut twice. It is a hint and no guard: it is bounded, forgets the oldest, and is not
-/// told to peers that cannot be reached.
+/// A caller that got no answer may submit the whole form again, for which the application fetches a
+/// new key. Without the hint both orders run, each at most once, and the work is done twice.
+/// Detection is best effort: the table is bounded, the oldest entries are evicted, and unreachable
+/// peers do not receive hints.
 class DuplicateHints
 {
 public:
     DuplicateHints(Common::Duration window, std::size_t limit);
 
-    void note(const DuplicateHint &hint, Common::Time now);
-    /// Drops what is older than the window.
+    void add(const DuplicateHint &hint, Common::Time now);
+    /// Removes the entries that are older than the window.
     void tick(Common::Time now);
 
     /// The key under which the order was submitted within the window, if any.
@@ -66,12 +64,12 @@
     };
 
     void withdraw(const DuplicateHint &hint);
-    void dropOldest();
+    void removeOldest();
 
     Common::Duration window_;
     std::size_t limit_;
     std::unordered_map<std::uint64_t, Entry> entries_;
-    /// In the order of arrival; an arrival whose entry was renewed or withdrawn is void.
+    /// In order of arrival. An arrival whose entry was replaced or withdrawn has no effect.
     std::deque<Arrival> arrivals_;
 };
 
--- a/Source/Core/Ledger/Handover.cpp
+++ b/Source/Core/Ledger/Handover.cpp
@@ -28,11 +28,11 @@
                                               Common::Incarnation incarnation,
                                               const std::vector<Common::InstanceId> &candidates)
 {
-    const auto place = fmt::format("{}.{:x}", owner.text(), incarnation);
+    const auto hashKey = fmt::format("{}.{:x}", owner.text(), incarnation);
     std::optional<Common::InstanceId> best;
     std::uint64_t bestWeight = 0;
     for (const auto &candidate : candidates) {
-        const auto weight = Common::rendezvousWeight(place, candidate.text());
+        const auto weight = Common::rendezvousWeight(hashKey, candidate.text());
         if (candidate != owner && (!best || weight > bestWeight)) {
             best = candidate;
             bestWeight = weight;
@@ -41,9 +41,9 @@
     return best;
 }
 
-HandoverStore::HandoverStore(Common::Duration keepTime, std::size_t maxRecords,
+HandoverStore::HandoverStore(Common::Duration retentionTime, std::size_t maxRecords,
                              std::size_t maxAnswerBytes)
-    : keepTime_(keepTime)
+    : retentionTime_(retentionTime)
     , maxRecords_(maxRecords)
     , maxAnswerBytes_(maxAnswerBytes)
 {
@@ -52,56 +52,56 @@
 Common::Result<void> HandoverStore::adopt(Handover handover, Common::Time now)
 {
     const Owner owner{handover.owner, handover.incarnation};
-    const auto earlier = kept_.find(owner);
-    if (earlier != kept_.end()) {
+    const auto earlier = handovers_.find(owner);
+    if (earlier != handovers_.end()) {
         if (earlier->second.revision >= handover.revision) {
             return Common::makeError(ErrorCode::Conflict, "a later handover is kept");
         }
-        drop(earlier);
+        remove(earlier);
     }
     const auto bytes = answerBytesOf(handover);
     if (recordCount_ + handover.records.size() > maxRecords_
         || answerBytes_ + bytes > maxAnswerBytes_) {
         return Common::makeError(ErrorCode::TooLarge, "no room for the handover");
     }
-    Kept kept{handover.revision,
-              handover.secret,
-              handover.lastSequence,
-              handover.forgottenUpTo,
-              now + keepTime_,
-              bytes,
-              {}};
+    StoredHandover stored{handover.revision,
+                          handover.secret,
+                          handover.lastSequence,
+                          handover.forgottenUpTo,
+                          now + retentionTime_,
+                          bytes,
+                          {}};
     for (auto &record : handover.records) {
         auto answer =
             record.answer ? std::make_shared<const KeptAnswer>(std::move(*record.answer)) : nullptr;
-        kept.outcomes.emplace(record.sequence,
-                              Outcome{record.bodyFingerprint, record.ran, std::move(answer)});
+        stored.outcomes.emplace(record.sequence,
+                                Outcome{record.bodyFingerprint, record.ran, std::move(answer)});
     }
-    recordCount_ += kept.outcomes.size();
+    recordCount_ += stored.outcomes.size();
     answerBytes_ += bytes;
-    kept_.emplace(owner, std::move(kept));
+    handovers_.emplace(owner, std::move(stored));
     return {};
 }
 
 void HandoverStore::tick(Common::Time now)
 {
-    for (auto kept = kept_.begin(); kept != kept_.end();) {
-        const auto next = std::next(kept);
-        if (kept->second.dropAt <= now) {
-            drop(kept);
+    for (auto stored = handovers_.begin(); stored != handovers_.end();) {
+        const auto next = std::next(stored);
+        if (stored->second.removeAt <= now) {
+            remove(stored);
         }
-        kept = next;
+        stored = next;
     }
 }
 
-std::optional<BeginOutcome> HandoverStore::judge(const Submission &submission) const
+std::optional<BeginOutcome> HandoverStore::evaluate(const Submission &submission) const
 {
     const auto &key = submission.key;
-    const auto found = kept_.find({key.owner, key.incarnation});
-    if (found == kept_.end()) {
+    const auto found = handovers_.find({key.owner, key.incarnation});
+    if (found == handovers_.end()) {
         return std::nullopt;
     }
-    switch (stateIn(found->second, key)) {
+    switch (stateOf(found->second, key)) {
     case KeyState::NotMinted:
         return Rejected{RunState::Unknown, RejectionReason::NotMinted, std::nullopt};
     case KeyState::Expired:
@@ -126,30 +126,31 @@
 
 std::optional<KeyState> HandoverStore::state(const IdempotencyKey &key) const
 {
-    const auto found = kept_.find({key.owner, key.incarnation});
-    if (found == kept_.end()) {
+    const auto found = handovers_.find({key.owner, key.incarnation});
+    if (found == handovers_.end()) {
         return std::nullopt;
     }
-    return stateIn(found->second, key);
+    return stateOf(found->second, key);
 }
 
-KeyState HandoverStore::stateIn(const Kept &kept, const IdempotencyKey &key)
+KeyState HandoverStore::stateOf(const StoredHandover &stored, const IdempotencyKey &key)
 {
-    if (key.sequence > kept.lastSequence || key.seal != key.expectedSeal(kept.secret)) {
+    if (key.sequence > stored.lastSequence
+        || key.signature != key.expectedSignature(stored.secret)) {
         return KeyState::NotMinted;
     }
-    const auto outcome = kept.outcomes.find(key.sequence);
-    if (outcome != kept.outcomes.end()) {
+    const auto outcome = stored.outcomes.find(key.sequence);
+    if (outcome != stored.outcomes.end()) {
         return outcome->second.ran ? KeyState::Ran : KeyState::Lost;
     }
-    return key.issuedAfter <= kept.forgottenUpTo ? KeyState::Forgotten : KeyState::Expired;
+    return key.issueOffset <= stored.forgottenUpTo ? KeyState::Forgotten : KeyState::Expired;
 }
 
-void HandoverStore::drop(std::map<Owner, Kept>::iterator kept)
+void HandoverStore::remove(std::map<Owner, StoredHandover>::iterator stored)
 {
-    recordCount_ -= kept->second.outcomes.size();
-    answerBytes_ -= kept->second.answerBytes;
-    kept_.erase(kept);
+    recordCount_ -= stored->second.outcomes.size();
+    answerBytes_ -= stored->second.answerBytes;
+    handovers_.erase(stored);
 }
 
 } // namespace LaburnumChute::Ledger
--- a/Source/Core/Ledger/Handover.h
+++ b/Source/Core/Ledger/Handover.h
@@ -16,17 +16,16 @@
 
 namespace LaburnumChute::Ledger {
 
-/// What a closed ledger knows of one used key.
-struct HandedRecord
+/// What a closed ledger knows about one used key.
+struct HandoverRecord
 {
     std::uint64_t sequence = 0;
     std::uint64_t bodyFingerprint = 0;
-    /// Ran to its end; otherwise it may have run, or may yet be running.
+    /// The request ran to completion. If false, it may have run or may still be running.
     bool ran = false;
-    /// Only with `ran`, and only while there was room for its body.
+    /// Set only with `ran`, and only if it fits the byte limits.
     std::optional<KeptAnswer> answer;
 
-    /// For cereal.
     template <typename Archive>
     void serialize(Archive &archive)
     {
@@ -34,22 +33,23 @@
     }
 };
 
-/// What an instance that shuts down tells its successor: the outcomes of its keys, never the right
-/// to run one. As the sender begins nothing any more, a key that is not listed has not run and
-/// never will; only a ledger that is closed may say so.
+/// Sent by an instance that shuts down to its successor: the outcomes of its keys, but not the
+/// right to run a request under them. Only a closed ledger may create one: since it begins no
+/// further requests, a key that is neither listed nor covered by forgottenUpTo has not run and
+/// never will.
 struct Handover
 {
     Common::InstanceId owner;
     Common::Incarnation incarnation = 0;
-    /// Grows when the same ledger is handed over again with more outcomes.
+    /// Increases each time the same ledger is handed over again with more outcomes.
     std::uint64_t revision = 0;
     std::uint64_t secret = 0;
     std::uint64_t lastSequence = 0;
-    /// Keys issued up to this long after the sender's start may have been used and forgotten.
+    /// Keys issued up to this long after the sender's start may have been used and their records
+    /// removed.
     Common::milliseconds forgottenUpTo{0};
-    std::vector<HandedRecord> records;
+    std::vector<HandoverRecord> records;
 
-    /// For cereal.
     template <typename Archive>
     void serialize(Archive &archive)
     {
@@ -59,26 +59,29 @@
     }
 };
 
-/// The candidate that keeps the handover of an incarnation: any instance finds it from the list of
-/// members. Those who see another list ask one that has nothing and answers "unknown".
+/// The candidate that stores the handover of an incarnation. Instances with the same member list
+/// agree on it; one with another list may ask a candidate that has no handover, which answers
+/// "unknown".
 std::optional<Common::InstanceId> successorOf(const Common::InstanceId &owner,
                                               Common::Incarnation incarnation,
                                               const std::vector<Common::InstanceId> &candidates);
 
-/// The handovers that this instance keeps for instances that have shut down.
+/// The handovers that this instance stores for instances that have shut down.
 class HandoverStore
 {
 public:
-    /// maxRecords and maxAnswerBytes bound all handovers together.
-    HandoverStore(Common::Duration keepTime, std::size_t maxRecords, std::size_t maxAnswerBytes);
+    /// maxRecords and maxAnswerBytes limit the total over all handovers.
+    HandoverStore(Common::Duration retentionTime, std::size_t maxRecords,
+                  std::size_t maxAnswerBytes);
 
-    /// Fails with TooLarge when there is no room, and with Conflict for an older revision. Then the
-    /// keys of that incarnation are answered "unknown", as if it had been killed.
+    /// Fails with TooLarge when a limit would be exceeded, and with Conflict for a revision that is
+    /// not newer than the stored one. TooLarge also removes an older revision; the keys of that
+    /// incarnation are then answered "unknown", as if the instance had been killed.
     Common::Result<void> adopt(Handover handover, Common::Time now);
     void tick(Common::Time now);
 
-    /// Nothing when no handover of the key's incarnation is kept here. Never Proceed.
-    std::optional<BeginOutcome> judge(const Submission &submission) const;
+    /// Empty if no handover of the key's incarnation is stored here. Never Proceed.
+    std::optional<BeginOutcome> evaluate(const Submission &submission) const;
     std::optional<KeyState> state(const IdempotencyKey &key) const;
 
     std::size_t recordCount() const
@@ -97,25 +100,25 @@
         bool ran = false;
         std::shared_ptr<const KeptAnswer> answer;
     };
-    struct Kept
+    struct StoredHandover
     {
         std::uint64_t revision = 0;
         std::uint64_t secret = 0;
         std::uint64_t lastSequence = 0;
         Common::milliseconds forgottenUpTo{0};
-        Common::Time dropAt;
+        Common::Time removeAt;
         std::size_t answerBytes = 0;
         std::unordered_map<std::uint64_t, Outcome> outcomes;
     };
     using Owner = std::pair<Common::InstanceId, Common::Incarnation>;
 
-    void drop(std::map<Owner, Kept>::iterator kept);
-    static KeyState stateIn(const Kept &kept, const IdempotencyKey &key);
+    void remove(std::map<Owner, StoredHandover>::iterator stored);
+    static KeyState stateOf(const StoredHandover &stored, const IdempotencyKey &key);
 
-    Common::Duration keepTime_;
+    Common::Duration retentionTime_;
     std::size_t maxRecords_;
     std::size_t maxAnswerBytes_;
-    std::map<Owner, Kept> kept_;
+    std::map<Owner, StoredHandover> handovers_;
     std::size_t recordCount_ = 0;
     std::size_t answerBytes_ = 0;
 };
--- a/Source/Core/Ledger/IdempotencyKey.cpp
+++ b/Source/Core/Ledger/IdempotencyKey.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t FieldCount = 8;
 constexpr int Hexadecimal = 16;
 
-bool isPlain(char character)
+bool isUnreserved(char character)
 {
     return (character >= 'a' && character <= 'z') || (character >= 'A' && character <= 'Z')
            || (character >= '0' && character <= '9') || character == '-' || character == '_';
@@ -27,7 +27,7 @@
 {
     std::string encoded;
     for (const char character : name) {
-        if (isPlain(character)) {
+        if (isUnreserved(character)) {
             encoded += character;
         } else {
             encoded += fmt::format("%{:02x}", static_cast<unsigned char>(character));
@@ -78,16 +78,16 @@
     return fields;
 }
 
-std::uint32_t checkOf(std::string_view text)
+std::uint32_t checksumOf(std::string_view text)
 {
     return static_cast<std::uint32_t>(Common::stableHash(text));
 }
 
-std::string unsealedText(const IdempotencyKey &key)
+std::string unsignedText(const IdempotencyKey &key)
 {
     return fmt::format("{}.{}.{:x}.{}.{:x}.{:x}", FormatVersion, encodeName(key.owner.text()),
                        key.incarnation, encodeName(key.customer.text()), key.sequence,
-                       key.issuedAfter.count());
+                       key.issueOffset.count());
 }
 
 std::optional<IdempotencyKey> readFields(const std::vector<std::string_view> &fields)
@@ -97,13 +97,14 @@
     const auto customer = decodeName(fields[3]);
     const auto sequence = parseHexadecimal<std::uint64_t>(fields[4]);
     const auto issued = parseHexadecimal<std::int64_t>(fields[5]);
-    const auto seal = parseHexadecimal<std::uint32_t>(fields[6]);
-    if (!owner || owner->empty() || !incarnation || !customer || !sequence || !issued || !seal) {
+    const auto signature = parseHexadecimal<std::uint32_t>(fields[6]);
+    if (!owner || owner->empty() || !incarnation || !customer || !sequence || !issued
+        || !signature) {
         return std::nullopt;
     }
     return IdempotencyKey{Common::InstanceId(*owner),      *incarnation,
                           Common::CustomerName(*customer), *sequence,
-                          Common::milliseconds(*issued),   *seal};
+                          Common::milliseconds(*issued),   *signature};
 }
 
 } // namespace
@@ -120,7 +121,7 @@
                                  "the idempotency key was not given out by this deployment");
     }
     const auto key = readFields(fields);
-    // Comparing with the text that the members give also refuses a second spelling of the same key.
+    // Comparing with the canonical text also rejects other encodings of the same key.
     if (!key || key->text() != text) {
         return Common::makeError(ErrorCode::InvalidArgument,
                                  "the idempotency key is damaged: its check does not match");
@@ -130,14 +131,14 @@
 
 std::string IdempotencyKey::text() const
 {
-    auto text = fmt::format("{}.{:08x}", unsealedText(*this), seal);
-    const auto check = checkOf(text);
-    return fmt::format("{}.{:08x}", text, check);
+    auto text = fmt::format("{}.{:08x}", unsignedText(*this), signature);
+    const auto checksum = checksumOf(text);
+    return fmt::format("{}.{:08x}", text, checksum);
 }
 
-std::uint32_t IdempotencyKey::expectedSeal(std::uint64_t secret) const
+std::uint32_t IdempotencyKey::expectedSignature(std::uint64_t secret) const
 {
-    return static_cast<std::uint32_t>(Common::stableHash(unsealedText(*this), secret));
+    return static_cast<std::uint32_t>(Common::stableHash(unsignedText(*this), secret));
 }
 
 } // namespace LaburnumChute::Ledger
--- a/Source/Core/Ledger/Ledger.cpp
+++ b/Source/Core/Ledger/Ledger.cpp
@@ -11,12 +11,12 @@
 using Common::ErrorCode;
 using Common::RunState;
 
-Rejected refuse(RunState run, RejectionReason reason)
+Rejected reject(RunState run, RejectionReason reason)
 {
     return Rejected{run, reason, std::nullopt};
 }
 
-tl::unexpected<Common::Error> staleReport()
+tl::unexpected<Common::Error> staleReportError()
 {
     return Common::makeError(ErrorCode::Conflict, "the attempt does not hold its key any more");
 }
@@ -36,7 +36,7 @@
     if (closed_) {
         return Common::makeError(ErrorCode::Unavailable, "this instance is shutting down");
     }
-    if (!hasRoom()) {
+    if (!hasFreeRecord()) {
         return Common::makeError(ErrorCode::Overloaded, "no room for another idempotency key");
     }
     IdempotencyKey key;
@@ -44,63 +44,64 @@
     key.incarnation = identity_.incarnation;
     key.customer = customer;
     key.sequence = ++lastSequence_;
-    key.issuedAfter = std::chrono::floor<Common::milliseconds>(now - identity_.start);
-    key.seal = key.expectedSeal(identity_.secret);
+    key.issueOffset = std::chrono::floor<Common::milliseconds>(now - identity_.start);
+    key.signature = key.expectedSignature(identity_.secret);
     ++counts_.minted;
     return key;
 }
 
 BeginOutcome Ledger::begin(const Submission &submission, Common::Time now)
 {
-    auto outcome = judge(submission, now);
+    auto outcome = evaluate(submission, now);
     if (std::holds_alternative<ReplayAnswer>(outcome)) {
         ++counts_.replayed;
     }
     if (std::holds_alternative<Rejected>(outcome)) {
-        ++counts_.refused;
+        ++counts_.rejected;
     }
     return outcome;
 }
 
-BeginOutcome Ledger::judge(const Submission &submission, Common::Time now)
+BeginOutcome Ledger::evaluate(const Submission &submission, Common::Time now)
 {
     const auto &key = submission.key;
     if (key.customer != submission.customer) {
-        return refuse(RunState::NotRun, RejectionReason::OtherCustomer);
+        return reject(RunState::NotRun, RejectionReason::OtherCustomer);
     }
-    if (!ownKey(key)) {
-        return judgeForeign(submission);
+    if (!isOwnKey(key)) {
+        return evaluateForeign(submission);
     }
-    // Nobody who was given a key comes here. Were two processes ever to start under one instance id
-    // in one millisecond, the key may be the other one's, so that "not run" would be a guess.
-    if (!minted(key)) {
-        return refuse(RunState::Unknown, RejectionReason::NotMinted);
+    // A caller with an unaltered key does not get here, unless two processes started under one
+    // instance id in the same millisecond. The other process may have run the request then, so "not
+    // run" cannot be reported.
+    if (!isMinted(key)) {
+        return reject(RunState::Unknown, RejectionReason::NotMinted);
     }
     const auto found = records_.find(key.sequence);
     if (found != records_.end()) {
-        return judgeKnown(found->second, submission);
+        return evaluateRecorded(found->second, submission);
     }
-    return judgeFresh(submission, now);
+    return evaluateUnrecorded(submission, now);
 }
 
-BeginOutcome Ledger::judgeForeign(const Submission &submission) const
+BeginOutcome Ledger::evaluateForeign(const Submission &submission) const
 {
     const auto &key = submission.key;
-    if (auto outcome = adopted_.judge(submission)) {
+    if (auto outcome = adopted_.evaluate(submission)) {
         return *std::move(outcome);
     }
-    // A replaced instance remembers nothing of its predecessor's keys. Saying "not run" here is the
-    // fault that this library exists to prevent: the predecessor may have run the request.
+    // A replacement has no records of its predecessor's keys. The predecessor may have run the
+    // request, so "not run" must not be reported.
     if (key.owner == identity_.instance) {
-        return refuse(RunState::Unknown, RejectionReason::IncarnationGone);
+        return reject(RunState::Unknown, RejectionReason::IncarnationGone);
     }
     return OwnedElsewhere{key.owner, key.incarnation};
 }
 
-BeginOutcome Ledger::judgeKnown(const Record &record, const Submission &submission) const
+BeginOutcome Ledger::evaluateRecorded(const Record &record, const Submission &submission) const
 {
     if (record.bodyFingerprint != submission.bodyFingerprint) {
-        return refuse(RunState::NotRun, RejectionReason::OtherBody);
+        return reject(RunState::NotRun, RejectionReason::OtherBody);
     }
     switch (record.phase) {
     case Phase::Waiting:
@@ -110,29 +111,29 @@
         if (record.answer) {
             return ReplayAnswer{record.answer};
         }
-        return refuse(RunState::Ran, RejectionReason::AnswerNotKept);
+        return reject(RunState::Ran, RejectionReason::AnswerNotKept);
     case Phase::Lost:
         break;
     }
-    return refuse(RunState::Unknown, RejectionReason::OutcomeUnknown);
+    return reject(RunState::Unknown, RejectionReason::OutcomeUnknown);
 }
 
-BeginOutcome Ledger::judgeFresh(const Submission &submission, Common::Time now)
+BeginOutcome Ledger::evaluateUnrecorded(const Submission &submission, Common::Time now)
 {
     switch (stateOfUnrecorded(submission.key, now)) {
     case KeyState::Unused:
         break;
     case KeyState::Expired:
-        return refuse(RunState::NotRun, RejectionReason::Expired);
+        return reject(RunState::NotRun, RejectionReason::Expired);
     default:
-        return refuse(RunState::Unknown, RejectionReason::OutcomeUnknown);
+        return reject(RunState::Unknown, RejectionReason::OutcomeUnknown);
     }
     if (closed_) {
-        return refuse(RunState::NotRun, RejectionReason::Closing);
+        return reject(RunState::NotRun, RejectionReason::Closing);
     }
-    // A live record is never dropped to make room: its key would look unused and run again.
-    if (!hasRoom()) {
-        return refuse(RunState::NotRun, RejectionReason::LedgerFull);
+    // Live records are never evicted: their keys would appear unused and could run again.
+    if (!hasFreeRecord()) {
+        return reject(RunState::NotRun, RejectionReason::LedgerFull);
     }
     const auto earlier = hints_.earlierKey(submission.orderFingerprint, now);
     if (earlier && *earlier != submission.key && !submission.duplicateIntended) {
@@ -154,8 +155,8 @@
     ++openCount_;
     ++counts_.begun;
     const DuplicateHint hint{submission.orderFingerprint, submission.key, false};
-    hints_.note(hint, now);
-    hintsToTell_.push_back(hint);
+    hints_.add(hint, now);
+    pendingHints_.push_back(hint);
     return Proceed{reservation};
 }
 
@@ -163,7 +164,7 @@
 {
     Record *record = findReservation(reservation, Phase::Waiting);
     if (record == nullptr) {
-        return staleReport();
+        return staleReportError();
     }
     if (record->deadline && *record->deadline <= now) {
         release(*record, now);
@@ -180,7 +181,7 @@
 {
     Record *record = findAttempt(attempt);
     if (record == nullptr) {
-        return staleReport();
+        return staleReportError();
     }
     record->phase = Phase::Waiting;
     return {};
@@ -191,7 +192,7 @@
 {
     const Record *record = findReservation(reservation, Phase::Waiting);
     if (record == nullptr) {
-        return staleReport();
+        return staleReportError();
     }
     release(*record, now);
     return {};
@@ -201,12 +202,12 @@
 {
     Record *record = findAttempt(attempt);
     if (record == nullptr) {
-        return staleReport();
+        return staleReportError();
     }
     record->phase = Phase::Ran;
     ++counts_.finished;
-    settle(*record, now);
-    keep(*record, std::move(answer));
+    scheduleRemoval(*record, now);
+    storeAnswer(*record, std::move(answer));
     return {};
 }
 
@@ -214,22 +215,22 @@
 {
     Record *record = findAttempt(attempt);
     if (record == nullptr) {
-        return staleReport();
+        return staleReportError();
     }
     record->phase = Phase::Lost;
     ++counts_.lost;
-    settle(*record, now);
+    scheduleRemoval(*record, now);
     return {};
 }
 
 void Ledger::addPeerHint(const DuplicateHint &hint, Common::Time now)
 {
-    hints_.note(hint, now);
+    hints_.add(hint, now);
 }
 
 std::vector<DuplicateHint> Ledger::takeHints()
 {
-    return std::exchange(hintsToTell_, {});
+    return std::exchange(pendingHints_, {});
 }
 
 void Ledger::close()
@@ -239,17 +240,17 @@
 
 void Ledger::tick(Common::Time now)
 {
-    while (!dropTimes_.empty() && dropTimes_.begin()->first <= now) {
-        const auto sequence = dropTimes_.begin()->second;
-        dropTimes_.erase(dropTimes_.begin());
+    while (!removalTimes_.empty() && removalTimes_.begin()->first <= now) {
+        const auto sequence = removalTimes_.begin()->second;
+        removalTimes_.erase(removalTimes_.begin());
         const auto found = records_.find(sequence);
         if (found->second.answer) {
-            keptBytes_ -= sizeOf(*found->second.answer);
+            answerBytes_ -= sizeOf(*found->second.answer);
         }
         records_.erase(found);
     }
-    while (!keptOrder_.empty() && !records_.contains(keptOrder_.back())) {
-        keptOrder_.pop_back();
+    while (!answerOrder_.empty() && !records_.contains(answerOrder_.back())) {
+        answerOrder_.pop_back();
     }
     hints_.tick(now);
     adopted_.tick(now);
@@ -257,8 +258,8 @@
 
 Common::Result<Handover> Ledger::handOver(Common::Time now)
 {
-    // Before close() a key that the handover does not list could still be used here, and the
-    // successor would say "not run" of a request that runs.
+    // Before close(), a key that the handover does not list could still be used here, and the
+    // successor would report "not run" for a request that runs.
     if (!closed_) {
         return Common::makeError(ErrorCode::Conflict, "only a closed ledger can be handed over");
     }
@@ -274,18 +275,18 @@
         const bool ran = record.phase == Phase::Ran;
         handover.records.push_back({sequence, record.bodyFingerprint, ran, std::nullopt});
     }
-    addYoungestAnswers(handover);
+    addNewestAnswers(handover);
     return handover;
 }
 
-void Ledger::addYoungestAnswers(Handover &handover) const
+void Ledger::addNewestAnswers(Handover &handover) const
 {
-    std::unordered_map<std::uint64_t, HandedRecord *> handed;
+    std::unordered_map<std::uint64_t, HandoverRecord *> recordsBySequence;
     for (auto &record : handover.records) {
-        handed.emplace(record.sequence, &record);
+        recordsBySequence.emplace(record.sequence, &record);
     }
     std::size_t bytes = 0;
-    for (const auto sequence : keptOrder_) {
+    for (const auto sequence : answerOrder_) {
         const auto found = records_.find(sequence);
         if (found == records_.end() || !found->second.answer) {
             continue;
@@ -294,7 +295,7 @@
         if (bytes > options_.maxHandoverAnswerBytes) {
             return;
         }
-        handed.at(sequence)->answer = *found->second.answer;
+        recordsBySequence.at(sequence)->answer = *found->second.answer;
     }
 }
 
@@ -306,48 +307,49 @@
 void Ledger::release(const Record &record, Common::Time now)
 {
     const DuplicateHint hint{record.orderFingerprint, record.key, true};
-    hints_.note(hint, now);
-    hintsToTell_.push_back(hint);
+    hints_.add(hint, now);
+    pendingHints_.push_back(hint);
     --openCount_;
     records_.erase(record.key.sequence);
 }
 
-void Ledger::settle(const Record &record, Common::Time now)
+void Ledger::scheduleRemoval(const Record &record, Common::Time now)
 {
     --openCount_;
-    // Not before the key counts as forgotten: stateOfUnrecorded() takes a key without a record for
-    // one that was not used.
+    // The record must outlive the period in which stateOfUnrecorded() takes a key without a record
+    // for one that has not run.
     const auto forgottenAt = issuedAt(record.key) + options_.keyLifetime + options_.keptAnswerTime;
-    dropTimes_.emplace(std::max(now + options_.keptAnswerTime, forgottenAt), record.key.sequence);
+    removalTimes_.emplace(std::max(now + options_.keptAnswerTime, forgottenAt),
+                          record.key.sequence);
 }
 
-void Ledger::keep(Record &record, KeptAnswer answer)
+void Ledger::storeAnswer(Record &record, KeptAnswer answer)
 {
     const auto bytes = sizeOf(answer);
     if (bytes > options_.maxKeptAnswerBytes) {
         return;
     }
-    while (keptBytes_ + bytes > options_.maxKeptAnswerBytes) {
-        const auto found = records_.find(keptOrder_.back());
-        keptOrder_.pop_back();
+    while (answerBytes_ + bytes > options_.maxKeptAnswerBytes) {
+        const auto found = records_.find(answerOrder_.back());
+        answerOrder_.pop_back();
         if (found != records_.end() && found->second.answer) {
-            keptBytes_ -= sizeOf(*found->second.answer);
+            answerBytes_ -= sizeOf(*found->second.answer);
             found->second.answer.reset();
         }
     }
     record.answer = std::make_shared<const KeptAnswer>(std::move(answer));
-    keptOrder_.push_front(record.key.sequence);
-    keptBytes_ += bytes;
+    answerOrder_.push_front(record.key.sequence);
+    answerBytes_ += bytes;
 }
 
 KeyState Ledger::state(const IdempotencyKey &key, Common::Time now) const
 {
-    if (!ownKey(key)) {
+    if (!isOwnKey(key)) {
         const auto foreign =
             key.owner == identity_.instance ? KeyState::Forgotten : KeyState::Elsewhere;
         return adopted_.state(key).value_or(foreign);
     }
-    if (!minted(key)) {
+    if (!isMinted(key)) {
         return KeyState::NotMinted;
     }
     const auto found = records_.find(key.sequence);
@@ -367,7 +369,7 @@
     return KeyState::Lost;
 }
 
-RunState Ledger::claim(const IdempotencyKey &key, Common::Time now) const
+RunState Ledger::knownRunState(const IdempotencyKey &key, Common::Time now) const
 {
     switch (state(key, now)) {
     case KeyState::Unused:
@@ -388,7 +390,7 @@
 
 Common::Duration Ledger::remainingLifetime(const IdempotencyKey &key, Common::Time now) const
 {
-    if (!ownKey(key) || !minted(key)) {
+    if (!isOwnKey(key) || !isMinted(key)) {
         return Common::Duration::zero();
     }
     return std::max(issuedAt(key) + options_.keyLifetime - now, Common::Duration::zero());
@@ -401,7 +403,7 @@
             {"closed", closed_},
             {"records", records_.size()},
             {"open", openCount_},
-            {"kept_answer_bytes", keptBytes_},
+            {"kept_answer_bytes", answerBytes_},
             {"duplicate_hints", hints_.size()},
             {"adopted_records", adopted_.recordCount()},
             {"adopted_answer_bytes", adopted_.answerBytes()},
@@ -411,7 +413,7 @@
             {"finished", counts_.finished},
             {"lost", counts_.lost},
             {"replayed", counts_.replayed},
-            {"refused", counts_.refused}};
+            {"refused", counts_.rejected}};
 }
 
 Ledger::Record *Ledger::findReservation(const Reservation &reservation, Phase phase)
@@ -433,20 +435,20 @@
     return record;
 }
 
-bool Ledger::ownKey(const IdempotencyKey &key) const
+bool Ledger::isOwnKey(const IdempotencyKey &key) const
 {
     return key.owner == identity_.instance && key.incarnation == identity_.incarnation;
 }
 
-bool Ledger::minted(const IdempotencyKey &key) const
+bool Ledger::isMinted(const IdempotencyKey &key) const
 {
     return key.sequence >= 1 && key.sequence <= lastSequence_
-           && key.seal == key.expectedSeal(identity_.secret);
+           && key.signature == key.expectedSignature(identity_.secret);
 }
 
 Common::Time Ledger::issuedAt(const IdempotencyKey &key) const
 {
-    return identity_.start + key.issuedAfter;
+    return identity_.start + key.issueOffset;
 }
 
 KeyState Ledger::stateOfUnrecorded(const IdempotencyKey &key, Common::Time now) const
@@ -461,7 +463,7 @@
     return KeyState::Forgotten;
 }
 
-bool Ledger::hasRoom() const
+bool Ledger::hasFreeRecord() const
 {
     return records_.size() < options_.maxRecords;
 }
--- a/Source/Core/Ledger/Ledger.h
+++ b/Source/Core/Ledger/Ledger.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Public header of the library Ledger: what may run once. See docs/design/at-most-once.md and
-// docs/design/not-run.md.
+// Public header of the Ledger library, which runs non-repeatable requests at most once. See
+// docs/design/at-most-once.md and docs/design/not-run.md.
 
 #include <cstdint>
 #include <deque>
@@ -23,29 +23,29 @@
 
 namespace LaburnumChute::Ledger {
 
-/// Who keeps a ledger, from when on.
+/// The process that owns a ledger.
 struct LedgerIdentity
 {
     Common::InstanceId instance;
     Common::Incarnation incarnation = 0;
-    /// Drawn at random at the start of the process; tells the keys it minted from altered ones.
+    /// Chosen at random at the start of the process; signs the keys that it mints.
     std::uint64_t secret = 0;
-    /// Start of the process on its steady clock.
+    /// Start of the process on its own steady clock.
     Common::Time start;
 };
 
-/// Guards the requests that are not repeatable, for the keys that one incarnation of one instance
-/// has minted. Not thread-safe: the owner calls it from one strand.
+/// Ensures that non-repeatable requests run at most once under the keys that one incarnation of one
+/// instance has minted. Not thread-safe: the owner calls it from one strand.
 ///
-/// What goes wrong without it: the caller of a medal order gets no answer, submits it again at
-/// another instance, and the order runs twice. Here only the incarnation that minted a key may run
-/// a request under it; its records are the only ones needed, and when it is gone, nobody can run
-/// the key any more.
+/// Without it, a caller that gets no answer and resubmits its order at another instance would have
+/// the order run twice. Only the incarnation that minted a key may run a request under it. Its
+/// records are therefore sufficient, and once it has ended, no instance can run the key.
 ///
-/// The order of calls for one submission:
+/// Order of calls for one submission:
 ///   begin() -> Proceed
 ///     -> abandonedBeforeDispatch(), or
-///     -> dispatched() -> finished(), lost(), or notStarted() and from there once more either.
+///     -> dispatched() -> finished(), lost(), or
+///        notStarted() -> abandonedBeforeDispatch() or dispatched() again.
 class Ledger
 {
 public:
@@ -53,55 +53,56 @@
 
     // Commands.
 
-    /// A fresh key; fails with Overloaded while there is no room for its record, and with
-    /// Unavailable after close(). Keeps nothing until the key is used.
+    /// Returns a new key. Fails with Overloaded while the limit of records is reached, and with
+    /// Unavailable after close(). No record is stored until the key is used.
     Common::Result<IdempotencyKey> mint(const Common::CustomerName &customer, Common::Time now);
 
     BeginOutcome begin(const Submission &submission, Common::Time now);
 
-    /// To be called right before the first byte leaves, with a fresh reading of the clock. Fails
-    /// with DeadlineExceeded when the deadline has passed (a process that was frozen while the
-    /// request waited finds that out here) and with Conflict when the attempt holds the key no
-    /// more; nothing may be sent then. The key is released after DeadlineExceeded.
+    /// Must be called right before the first byte is sent, with the current time. Fails with
+    /// DeadlineExceeded when the deadline has passed, for example because the process was suspended
+    /// while the request was queued, and with Conflict when the reservation no longer holds the
+    /// key. After a failure nothing may be sent. DeadlineExceeded releases the key.
     Common::Result<Attempt> dispatched(const Reservation &reservation, Common::Time now);
 
-    /// No byte has left, or the endpoint said that it had not begun. The attempt holds its key
-    /// again and may be dispatched once more or abandoned.
+    /// No byte was sent, or the endpoint reported that it had not started the request. The
+    /// reservation may be dispatched again or abandoned.
     Common::Result<void> notStarted(const Attempt &attempt, Common::Time now);
 
-    /// The request will not be dispatched: its caller cancelled it, or no endpoint was found. The
-    /// key may be used again.
+    /// The request will not be dispatched, because its caller cancelled it or no endpoint was
+    /// found. The key may be used again.
     Common::Result<void> abandonedBeforeDispatch(const Reservation &reservation, Common::Time now);
 
-    /// The endpoint answered; the answer is kept.
+    /// The endpoint answered. The answer is kept for replay.
     Common::Result<void> finished(const Attempt &attempt, KeptAnswer answer, Common::Time now);
 
-    /// The outcome cannot be learnt any more: the connection closed or fell silent. For good.
+    /// The outcome can no longer be determined, since the connection closed or timed out. Final.
     Common::Result<void> lost(const Attempt &attempt, Common::Time now);
 
-    /// An order that a peer has begun, or withdrawn.
+    /// Adds an order that a peer has begun, or removes one that it has withdrawn.
     void addPeerHint(const DuplicateHint &hint, Common::Time now);
-    /// The hints to tell the peers, since the last call.
+    /// Returns the hints to send to peers that were added since the last call.
     std::vector<DuplicateHint> takeHints();
 
-    /// Shutdown: from now on no key is minted or begun; attempts that hold a key go on.
+    /// Starts the shutdown: no further key is minted or begun. Submissions with a reservation
+    /// continue.
     void close();
 
-    /// What the successor needs to answer for this ledger; after close() only. May be called again
-    /// when more attempts have ended.
+    /// Returns what the successor needs to answer for this ledger. Only after close(). May be
+    /// called again when more requests have ended.
     Common::Result<Handover> handOver(Common::Time now);
-    /// Keeps the handover of another incarnation and answers for its keys from then on.
+    /// Stores the handover of another incarnation and answers for its keys from then on.
     Common::Result<void> adopt(Handover handover, Common::Time now);
 
-    /// Drops the records whose time is over.
+    /// Removes expired records, hints and handovers.
     void tick(Common::Time now);
 
     // Queries.
 
     KeyState state(const IdempotencyKey &key, Common::Time now) const;
-    /// What a refusal of a new submission of the key may say of its request.
-    Common::RunState claim(const IdempotencyKey &key, Common::Time now) const;
-    /// How much longer the key may be used for the first time; zero when not at all.
+    /// The run state that may be reported when a new submission of the key is rejected.
+    Common::RunState knownRunState(const IdempotencyKey &key, Common::Time now) const;
+    /// How much longer the key may be used for the first time; zero if it cannot be.
     Common::Duration remainingLifetime(const IdempotencyKey &key, Common::Time now) const;
 
     bool closed() const
@@ -114,9 +115,9 @@
     }
     std::size_t keptAnswerBytes() const
     {
-        return keptBytes_;
+        return answerBytes_;
     }
-    /// Attempts that hold a key: what a shutdown waits for.
+    /// Submissions that hold a key. A shutdown waits for them.
     std::size_t openCount() const
     {
         return openCount_;
@@ -135,7 +136,7 @@
         Phase phase = Phase::Waiting;
         std::uint64_t reservationNumber = 0;
         std::uint64_t attemptNumber = 0;
-        /// Set in phase Ran while the body is kept.
+        /// Set in phase Ran while the answer is kept.
         std::shared_ptr<const KeptAnswer> answer;
     };
 
@@ -147,26 +148,26 @@
         std::uint64_t finished = 0;
         std::uint64_t lost = 0;
         std::uint64_t replayed = 0;
-        std::uint64_t refused = 0;
+        std::uint64_t rejected = 0;
     };
 
-    BeginOutcome judge(const Submission &submission, Common::Time now);
-    BeginOutcome judgeForeign(const Submission &submission) const;
-    BeginOutcome judgeKnown(const Record &record, const Submission &submission) const;
-    BeginOutcome judgeFresh(const Submission &submission, Common::Time now);
+    BeginOutcome evaluate(const Submission &submission, Common::Time now);
+    BeginOutcome evaluateForeign(const Submission &submission) const;
+    BeginOutcome evaluateRecorded(const Record &record, const Submission &submission) const;
+    BeginOutcome evaluateUnrecorded(const Submission &submission, Common::Time now);
     Proceed open(const Submission &submission, Common::Time now);
     void release(const Record &record, Common::Time now);
-    void keep(Record &record, KeptAnswer answer);
-    void settle(const Record &record, Common::Time now);
-    void addYoungestAnswers(Handover &handover) const;
+    void storeAnswer(Record &record, KeptAnswer answer);
+    void scheduleRemoval(const Record &record, Common::Time now);
+    void addNewestAnswers(Handover &handover) const;
 
     Record *findReservation(const Reservation &reservation, Phase phase);
     Record *findAttempt(const Attempt &attempt);
-    bool ownKey(const IdempotencyKey &key) const;
-    bool minted(const IdempotencyKey &key) const;
+    bool isOwnKey(const IdempotencyKey &key) const;
+    bool isMinted(const IdempotencyKey &key) const;
     Common::Time issuedAt(const IdempotencyKey &key) const;
     KeyState stateOfUnrecorded(const IdempotencyKey &key, Common::Time now) const;
-    bool hasRoom() const;
+    bool hasFreeRecord() const;
 
     LedgerOptions options_;
     LedgerIdentity identity_;
@@ -175,14 +176,14 @@
     std::uint64_t lastRevision_ = 0;
     bool closed_ = false;
     std::unordered_map<std::uint64_t, Record> records_;
-    /// When each settled record may go, and its sequence number.
-    std::set<std::pair<Common::Time, std::uint64_t>> dropTimes_;
-    /// Sequence numbers of records that were given an answer to keep, the youngest first.
-    std::deque<std::uint64_t> keptOrder_;
-    std::size_t keptBytes_ = 0;
+    /// Removal time and sequence number of each record with a final outcome.
+    std::set<std::pair<Common::Time, std::uint64_t>> removalTimes_;
+    /// Sequence numbers of records with a kept answer, newest first. May contain removed records.
+    std::deque<std::uint64_t> answerOrder_;
+    std::size_t answerBytes_ = 0;
     std::size_t openCount_ = 0;
     DuplicateHints hints_;
-    std::vector<DuplicateHint> hintsToTell_;
+    std::vector<DuplicateHint> pendingHints_;
     HandoverStore adopted_;
     Counts counts_;
 };
--- a/Source/Core/Ledger/LedgerTypes.h
+++ b/Source/Core/Ledger/LedgerTypes.h
@@ -16,34 +16,37 @@
 
 namespace LaburnumChute::Ledger {
 
-/// Bounds of a ledger. All are settings of the gateway.
+/// Limits and retention times of a ledger.
 struct LedgerOptions
 {
-    /// A key may be used for the first time until this long after its issue. Ten minutes: a clerk
-    /// who fetched a key with the form may finish the form.
+    /// How long after its issue a key may be used for the first time. Ten minutes are enough to
+    /// fill in a form whose key was fetched with it.
     Common::Duration keyLifetime = std::chrono::minutes(10);
-    /// An answer is kept this long after the request ended, and the refusal of an expired key stays
-    /// a definite one for this long after the expiry. Half an hour: a caller who got no answer
-    /// resends within minutes, an office that resends all afternoon is told "unknown" later on.
+    /// How long an answer is kept after the request ended, and how long after its expiry an expired
+    /// key is still rejected as "not run". Later submissions are answered "unknown". Half an hour
+    /// covers callers that got no answer, which usually resend within minutes.
     Common::Duration keptAnswerTime = std::chrono::minutes(30);
-    /// Records of used keys, about 0.3 KB each without their answers.
+    /// Maximum number of records of used keys, about 0.3 KB each without the answer.
     std::size_t maxRecords = 65'536;
-    /// Bodies of kept answers. When full, the oldest bodies go; the fact that they ran stays.
+    /// Limit for kept answers. When it is reached, the oldest answers are evicted; their records
+    /// still show that the requests ran.
     std::size_t maxKeptAnswerBytes = 16U << 20U;
-    /// The same order under a new key is asked about within this long; zero turns it off.
+    /// The same order under a new key is rejected as a duplicate within this time; zero disables
+    /// the check.
     Common::Duration duplicateWindow = std::chrono::minutes(5);
-    /// Orders remembered for that question, own and told by peers; the oldest go first, since they
-    /// guard nothing.
+    /// Orders remembered for the duplicate check, both own ones and those of peers. The oldest are
+    /// evicted first; unlike records, they may be evicted since they do not protect against a
+    /// second run of a key.
     std::size_t maxDuplicateHints = 65'536;
-    /// Bodies that a handover carries at shutdown, the youngest first: 4 MiB cross a link of 140
-    /// Mbit/s in a quarter of a second.
+    /// Limit for the answers in a handover at shutdown, which takes the newest ones first. 4 MiB
+    /// take a quarter of a second on a link of 140 Mbit/s.
     std::size_t maxHandoverAnswerBytes = 4U << 20U;
-    /// Records and bodies kept for instances that have shut down.
+    /// Limits for the records and answers stored for instances that have shut down.
     std::size_t maxAdoptedRecords = 65'536;
     std::size_t maxAdoptedAnswerBytes = 8U << 20U;
 };
 
-/// The answer of an endpoint that is kept for a caller who asks again with the same key.
+/// The answer of an endpoint, kept to be replayed to a caller that resends the same key.
 struct KeptAnswer
 {
     int status = 0;
@@ -52,7 +55,6 @@
 
     bool operator==(const KeptAnswer &) const = default;
 
-    /// For cereal.
     template <typename Archive>
     void serialize(Archive &archive)
     {
@@ -62,25 +64,25 @@
 
 std::size_t sizeOf(const KeptAnswer &answer);
 
-/// A request that is not repeatable, as it reaches begin().
+/// A non-repeatable request, as passed to begin().
 struct Submission
 {
     IdempotencyKey key;
-    /// Who submits it; must be the one whom the key was issued to.
+    /// The submitting customer; must be the one that the key was issued to.
     Common::CustomerName customer;
-    /// Over method, target and body: the same key with another fingerprint is refused.
+    /// Hash of method, target and body. The same key with another fingerprint is rejected.
     std::uint64_t bodyFingerprint = 0;
-    /// Over customer, target and body: two keys with the same one look like the same order.
+    /// Hash of customer, target and body. Two keys with the same value count as the same order.
     std::uint64_t orderFingerprint = 0;
-    /// The caller states that it means a second order of the same content.
+    /// The caller states that it intends a second order with the same content.
     bool duplicateIntended = false;
     /// Checked again right before dispatch.
     std::optional<Common::Time> deadline;
 };
 
-/// The hold of one submission on its key, from begin() until the key is released or the outcome is
-/// recorded. The number is never given twice, so that a late report on an earlier submission does
-/// not touch the present one.
+/// The exclusive use of a key by one submission, from begin() until the key is released or the
+/// outcome is recorded. Numbers are never reused, so that a late report about an earlier submission
+/// does not affect the current one.
 struct Reservation
 {
     std::uint64_t sequence = 0;
@@ -89,7 +91,8 @@
     bool operator==(const Reservation &) const = default;
 };
 
-/// One sending of an attempt to one endpoint; what happened to it is reported with this.
+/// One attempt to send the request of a reservation to an endpoint. Identifies the attempt when its
+/// outcome is reported.
 struct Attempt
 {
     Reservation reservation;
@@ -98,66 +101,67 @@
     bool operator==(const Attempt &) const = default;
 };
 
-/// The request may wait in the queue. dispatched() must be called before its first byte leaves.
+/// The request may be queued. dispatched() must be called before its first byte is sent.
 struct Proceed
 {
     Reservation reservation;
 };
 
-/// The request ran under this key; this is its answer.
+/// The request already ran under this key; this is its answer.
 struct ReplayAnswer
 {
     std::shared_ptr<const KeptAnswer> answer;
 };
 
-/// The request waits or runs under this key: the caller asks again later. Its refusal says
-/// "unknown".
+/// A request is queued or running under this key. The caller is answered "unknown" and may ask
+/// again later.
 struct StillRunning
 {
 };
 
 enum class RejectionReason {
-    /// No key that this incarnation has issued: a forged or altered one.
+    /// The key was not issued by the incarnation it names: it is forged or altered.
     NotMinted,
-    /// Issued to another customer.
+    /// The key was issued to another customer.
     OtherCustomer,
-    /// Not used in time; it cannot be used any more.
+    /// The key was not used within its lifetime.
     Expired,
     /// The key was used with another body.
     OtherBody,
-    /// The same order was submitted under another key a short time ago.
+    /// The same order was recently submitted under another key.
     DuplicateOrder,
-    /// It ran, but the answer is not kept any more.
+    /// The request ran, but its answer is no longer kept.
     AnswerNotKept,
-    /// It was dispatched and its outcome never became known.
+    /// The request may have been dispatched, and its outcome is not known.
     OutcomeUnknown,
-    /// The incarnation that minted the key is gone, and what it knew with it.
+    /// The incarnation that minted the key has ended, and its record of the key is not available.
     IncarnationGone,
-    /// The owner of the key cannot be asked.
+    /// The owner of the key cannot be reached.
     OwnerUnreachable,
-    /// No room for another record.
+    /// The limit of records is reached.
     LedgerFull,
-    /// The owner shuts down, or has shut down, and the key had not been used: nobody will run it.
+    /// The owner is shutting down or has shut down, and the key was not used. No instance will run
+    /// it.
     Closing,
 };
 
-/// "ledger-full" and so on: for problem documents and dumps.
+/// The name in problem documents and dumps, for example "ledger-full".
 std::string_view toString(RejectionReason reason);
 
-/// The request is not run now. What `run` says is what the answer to the caller must say.
+/// The request is not run by this submission. The answer to the caller must report `run`.
 struct Rejected
 {
     Common::RunState run = Common::RunState::Unknown;
     RejectionReason reason = RejectionReason::OutcomeUnknown;
-    /// With DuplicateOrder: the key of the earlier order.
+    /// The key of the earlier order; set only with DuplicateOrder.
     std::optional<IdempotencyKey> earlierKey;
 };
 
-/// What the forwarding instance answers when the owner cannot be asked: the owner may have run the
-/// request or may yet do so.
+/// What the forwarding instance reports when it cannot reach the owner, which may have run the
+/// request or may still run it.
 inline constexpr Common::RunState OwnerUnreachableRunState = Common::RunState::Unknown;
 
-/// Only this incarnation of this instance may answer; the request may be forwarded there.
+/// The key belongs to this incarnation of another instance; the request may be forwarded there.
 struct OwnedElsewhere
 {
     Common::InstanceId owner;
@@ -166,28 +170,30 @@
 
 using BeginOutcome = std::variant<Proceed, ReplayAnswer, StillRunning, Rejected, OwnedElsewhere>;
 
-/// What is known of a key here.
+/// What this instance knows about a key.
 enum class KeyState {
-    /// Issued and not used, or used by an attempt that is known not to have started.
+    /// Issued and not used, or released by a submission that is known not to have run.
     Unused,
-    /// Begun and not dispatched.
+    /// Begun, but not dispatched.
     Waiting,
-    /// Bytes may have left.
+    /// Dispatched; bytes may have been sent.
     Running,
     Ran,
-    /// Dispatched, outcome not known; for good.
+    /// Dispatched, and the outcome will never be known.
     Lost,
-    /// Not used in time, known not to have run.
+    /// Not used within its lifetime, and known not to have run.
     Expired,
-    /// Issued so long ago that its record is dropped, or by an incarnation that is gone.
+    /// Issued so long ago that a record would have been removed, or by an incarnation that has
+    /// ended.
     Forgotten,
-    /// Not issued by this incarnation, although it says so.
+    /// The key names this incarnation, which did not issue it.
     NotMinted,
-    /// Another instance is to be asked.
+    /// Another instance owns the key.
     Elsewhere,
 };
 
-/// "unused", "running", "ran", "unknown" or "expired", as GET /v1/idempotency-keys/KEY says it.
+/// "unused", "running", "ran", "unknown" or "expired", as in the answer to GET
+/// /v1/idempotency-keys/KEY.
 std::string_view toString(KeyState state);
 
 } // namespace LaburnumChute::Ledger
--- a/Source/UnitTests/Ledger/HandoverTest.cpp
+++ b/Source/UnitTests/Ledger/HandoverTest.cpp
@@ -88,7 +88,7 @@
     EXPECT_EQ(replayed(ran), "truck 4");
     expectRefused(submission(ran, 2), RunState::NotRun, RejectionReason::OtherBody);
     expectRefused(submission(unused), RunState::NotRun, RejectionReason::Closing);
-    EXPECT_EQ(successor_.claim(unused, now_), RunState::NotRun);
+    EXPECT_EQ(successor_.knownRunState(unused, now_), RunState::NotRun);
     expectRefused(submission(running), RunState::Unknown, RejectionReason::OutcomeUnknown);
     ASSERT_TRUE(leaving_.finished(sent, {200, "", "truck 5"}, now_));
     handOver();
@@ -133,7 +133,7 @@
     }
     leaving_.close();
     EXPECT_FALSE(successor_.adopt(leaving_.handOver(now_).value(), now_));
-    EXPECT_EQ(successor_.claim(unused, now_), RunState::Unknown);
+    EXPECT_EQ(successor_.knownRunState(unused, now_), RunState::Unknown);
     EXPECT_TRUE(std::holds_alternative<OwnedElsewhere>(successor_.begin(submission(unused), now_)));
 }
 
@@ -143,7 +143,7 @@
     handOver();
     now_ += options().keptAnswerTime;
     successor_.tick(now_);
-    EXPECT_EQ(successor_.claim(ran, now_), RunState::Unknown);
+    EXPECT_EQ(successor_.knownRunState(ran, now_), RunState::Unknown);
 }
 
 TEST_F(HandoverTest, AlteredKeyAndOlderHandoverAreRefused)
@@ -153,7 +153,7 @@
     const auto first = leaving_.handOver(now_).value();
     handOver();
     EXPECT_FALSE(successor_.adopt(first, now_));
-    altered.issuedAfter += 1h;
+    altered.issueOffset += 1h;
     expectRefused(submission(altered), RunState::Unknown, RejectionReason::NotMinted);
 }
 
--- a/Source/UnitTests/Ledger/LedgerTest.cpp
+++ b/Source/UnitTests/Ledger/LedgerTest.cpp
@@ -59,7 +59,7 @@
     void expectStillRunning(const IdempotencyKey &key)
     {
         EXPECT_TRUE(std::holds_alternative<StillRunning>(ledger_.begin(submission(key), now_)));
-        EXPECT_EQ(ledger_.claim(key, now_), RunState::Unknown);
+        EXPECT_EQ(ledger_.knownRunState(key, now_), RunState::Unknown);
     }
 
     void finish(const Attempt &dispatch, const std::string &body)
@@ -90,7 +90,7 @@
     finish(sent, "order 12");
     const auto outcome = ledger_.begin(submission(key), now_);
     EXPECT_EQ(std::get<ReplayAnswer>(outcome).answer->body, "order 12");
-    EXPECT_EQ(ledger_.claim(key, now_), RunState::Ran);
+    EXPECT_EQ(ledger_.knownRunState(key, now_), RunState::Ran);
 }
 
 // The connection to the endpoint closes under the write, and nobody can say whether the order was
@@ -116,7 +116,7 @@
     const auto second = ledger_.dispatched(attempt, now_).value();
     ASSERT_TRUE(ledger_.notStarted(second, now_));
     ASSERT_TRUE(ledger_.abandonedBeforeDispatch(attempt, now_));
-    EXPECT_EQ(ledger_.claim(key, now_), RunState::NotRun);
+    EXPECT_EQ(ledger_.knownRunState(key, now_), RunState::NotRun);
     finish(dispatch(key), "ran");
 }
 
@@ -162,7 +162,7 @@
     ASSERT_FALSE(sent);
     EXPECT_EQ(sent.error().code, ErrorCode::DeadlineExceeded);
     EXPECT_FALSE(ledger_.dispatched(attempt, now_));
-    EXPECT_EQ(ledger_.claim(key, now_), RunState::NotRun);
+    EXPECT_EQ(ledger_.knownRunState(key, now_), RunState::NotRun);
     EXPECT_EQ(ledger_.openCount(), 0);
 }
 
@@ -185,7 +185,7 @@
 TEST_F(LedgerTest, AlteredKeyIsNotTakenForAFreshOne)
 {
     auto key = mint();
-    key.issuedAfter += 1h;
+    key.issueOffset += 1h;
     ASSERT_TRUE(IdempotencyKey::parse(key.text()));
     expectRefused(submission(key), RunState::Unknown, RejectionReason::NotMinted);
     key = mint();
@@ -200,7 +200,7 @@
     auto key = mint();
     key.incarnation = 6;
     expectRefused(submission(key), RunState::Unknown, RejectionReason::IncarnationGone);
-    EXPECT_EQ(ledger_.claim(key, now_), RunState::Unknown);
+    EXPECT_EQ(ledger_.knownRunState(key, now_), RunState::Unknown);
     key.incarnation = 8;
     expectRefused(submission(key), RunState::Unknown, RejectionReason::IncarnationGone);
 }
@@ -213,7 +213,7 @@
     const auto &elsewhere = std::get<OwnedElsewhere>(outcome);
     EXPECT_EQ(elsewhere.owner, key.owner);
     EXPECT_EQ(elsewhere.incarnation, key.incarnation);
-    EXPECT_EQ(ledger_.claim(key, now_), RunState::Unknown);
+    EXPECT_EQ(ledger_.knownRunState(key, now_), RunState::Unknown);
 }
 
 TEST_F(LedgerTest, UnusedKeyExpiresAndIsForgottenInTheEnd)
@@ -235,11 +235,11 @@
     const auto key = mint();
     finish(dispatch(key), "ran");
     passTime(40min - 1ms);
-    EXPECT_EQ(ledger_.claim(key, now_), RunState::Ran);
+    EXPECT_EQ(ledger_.knownRunState(key, now_), RunState::Ran);
     passTime(1ms);
     EXPECT_EQ(ledger_.recordCount(), 0);
     EXPECT_EQ(ledger_.keptAnswerBytes(), 0);
-    EXPECT_EQ(ledger_.claim(key, now_), RunState::Unknown);
+    EXPECT_EQ(ledger_.knownRunState(key, now_), RunState::Unknown);
 }
 
 // More orders are open than the memory holds records for. If the oldest made room for the newest,
--- a/Source/UnitTests/Ledger/World.cpp
+++ b/Source/UnitTests/Ledger/World.cpp
@@ -276,11 +276,13 @@
 {
     for (const auto &life : lives_) {
         for (Index key = 0; key < keys_.size(); ++key) {
-            const auto claim = life.ledger.claim(keys_[key], now_);
+            const auto knownRunState = life.ledger.knownRunState(keys_[key], now_);
             const int runs = runsOf(key, std::nullopt);
-            if ((claim == RunState::NotRun && runs > 0) || (claim == RunState::Ran && runs == 0)) {
+            if ((knownRunState == RunState::NotRun && runs > 0)
+                || (knownRunState == RunState::Ran && runs == 0)) {
                 violations_.push_back(fmt::format("{} claims \"{}\" of key {}",
-                                                  life.instance.text(), wordOf(claim), key));
+                                                  life.instance.text(), wordOf(knownRunState),
+                                                  key));
             }
         }
     }
