--- a/Source/UnitTests/Ledger/AtMostOnceTest.cpp
+++ b/Source/UnitTests/Ledger/AtMostOnceTest.cpp
@@ -11,25 +11,25 @@
 
 namespace {
 
-using Index = World::Index;
-using Phase = World::Phase;
-using SendingState = World::SendingState;
+using Index = LedgerSimulation::Index;
+using Phase = LedgerSimulation::Phase;
+using AttemptState = LedgerSimulation::AttemptState;
 
-/// One thing that happens. `choice` picks among what it can happen to.
+/// One random step. `choice` selects the process, submission or attempt that it applies to.
 struct Step
 {
     enum class Kind {
         Mint,
         Submit,
-        Arrive,
-        GiveUp,
+        Deliver,
+        AbandonForward,
         Dispatch,
         Abandon,
         Run,
-        Refuse,
+        Reject,
         Finished,
         NotStarted,
-        Closes,
+        CloseConnection,
         Start,
         Kill,
         Advance,
@@ -47,20 +47,20 @@
     stream << static_cast<int>(step.kind) << ' ' << step.choice << ' ' << step.detail;
 }
 
-rc::Gen<Step> anyStep()
+rc::Gen<Step> arbitraryStep()
 {
     using Kind = Step::Kind;
     const auto kind = rc::gen::weightedElement<Kind>({{4, Kind::Mint},
                                                       {12, Kind::Submit},
-                                                      {6, Kind::Arrive},
-                                                      {2, Kind::GiveUp},
+                                                      {6, Kind::Deliver},
+                                                      {2, Kind::AbandonForward},
                                                       {10, Kind::Dispatch},
                                                       {2, Kind::Abandon},
                                                       {10, Kind::Run},
-                                                      {3, Kind::Refuse},
+                                                      {3, Kind::Reject},
                                                       {8, Kind::Finished},
                                                       {4, Kind::NotStarted},
-                                                      {3, Kind::Closes},
+                                                      {3, Kind::CloseConnection},
                                                       {1, Kind::Start},
                                                       {1, Kind::Kill},
                                                       {3, Kind::Advance},
@@ -73,20 +73,20 @@
                                 rc::gen::set(&Step::detail, number));
 }
 
-/// Applies random steps to a world of three instances, each replaced now and then while its earlier
-/// life may go on.
-class Player
+/// Applies random steps to a simulation of three instances. An instance may be replaced while its
+/// earlier process continues to run.
+class StepRunner
 {
 public:
-    Player()
-        : world_(options())
+    StepRunner()
+        : simulation_(options())
     {
         for (const auto &instance : Instances) {
-            world_.start(instance);
+            simulation_.start(instance);
         }
     }
 
-    void play(const Step &step)
+    void apply(const Step &step)
     {
         using Kind = Step::Kind;
         switch (step.kind) {
@@ -97,26 +97,26 @@
         case Kind::Tick:
         case Kind::Close:
         case Kind::HandOver:
-            return playOnLife(step);
+            return applyToProcess(step);
         case Kind::Submit:
-        case Kind::Arrive:
-        case Kind::GiveUp:
+        case Kind::Deliver:
+        case Kind::AbandonForward:
         case Kind::Dispatch:
         case Kind::Abandon:
-            return playOnSubmission(step);
+            return applyToSubmission(step);
         default:
-            return playOnSending(step);
+            return applyToAttempt(step);
         }
     }
 
-    const World &world() const
+    const LedgerSimulation &simulation() const
     {
-        return world_;
+        return simulation_;
     }
 
 private:
     static constexpr const char *Instances[] = {"a", "b", "c"};
-    static constexpr std::size_t MaxLives = 7;
+    static constexpr std::size_t MaxProcesses = 7;
     static constexpr std::size_t MaxKeys = 8;
 
     static LedgerOptions options()
@@ -135,168 +135,177 @@
     template <typename Items, typename Condition>
     static std::optional<Index> pick(const Items &items, std::size_t choice, Condition condition)
     {
-        std::vector<Index> fitting;
+        std::vector<Index> matching;
         for (Index at = 0; at < items.size(); ++at) {
             if (condition(items[at])) {
-                fitting.push_back(at);
+                matching.push_back(at);
             }
         }
-        return fitting.empty() ? std::nullopt : std::optional(fitting[choice % fitting.size()]);
+        return matching.empty() ? std::nullopt : std::optional(matching[choice % matching.size()]);
     }
 
-    std::optional<Index> pickLife(std::size_t choice)
+    std::optional<Index> pickLiveProcess(std::size_t choice)
     {
-        return pick(world_.lives(), choice, [](const World::Life &life) { return life.up; });
+        return pick(simulation_.processes(), choice,
+                    [](const LedgerSimulation::Process &process) { return process.alive; });
     }
 
-    void playOnLife(const Step &step)
+    void applyToProcess(const Step &step)
     {
-        static constexpr Common::Duration Waits[] = {200ms, 1s, 3s, 10s, 20s};
+        static constexpr Common::Duration Durations[] = {200ms, 1s, 3s, 10s, 20s};
         using Kind = Step::Kind;
-        const auto life = pickLife(step.choice);
+        const auto process = pickLiveProcess(step.choice);
         if (step.kind == Kind::Start) {
-            if (world_.lives().size() < MaxLives) {
-                world_.start(Instances[step.choice % std::size(Instances)]);
+            if (simulation_.processes().size() < MaxProcesses) {
+                simulation_.start(Instances[step.choice % std::size(Instances)]);
             }
         } else if (step.kind == Kind::Advance) {
-            world_.advance(Waits[step.choice % std::size(Waits)]);
-        } else if (life) {
-            playOn(*life, step);
+            simulation_.advance(Durations[step.choice % std::size(Durations)]);
+        } else if (process) {
+            applyToLiveProcess(*process, step);
         }
     }
 
-    void playOn(Index life, const Step &step)
+    void applyToLiveProcess(Index process, const Step &step)
     {
         using Kind = Step::Kind;
-        if (step.kind == Kind::Mint && world_.keys().size() < MaxKeys) {
-            world_.mint(life);
+        if (step.kind == Kind::Mint && simulation_.keys().size() < MaxKeys) {
+            simulation_.mint(process);
         } else if (step.kind == Kind::Kill) {
-            world_.kill(life);
+            simulation_.kill(process);
         } else if (step.kind == Kind::Tick) {
-            world_.tick(life);
+            simulation_.tick(process);
         } else if (step.kind == Kind::Close) {
-            world_.close(life);
+            simulation_.close(process);
         } else if (step.kind == Kind::HandOver) {
-            world_.handOver(life, *pickLife(step.detail));
+            simulation_.handOver(process, *pickLiveProcess(step.detail));
         }
     }
 
-    void playOnSubmission(const Step &step)
+    void applyToSubmission(const Step &step)
     {
         using Kind = Step::Kind;
         if (step.kind == Kind::Submit) {
             return submit(step);
         }
-        const auto submission =
-            pick(world_.submissions(), step.choice,
-                 [&](const World::Submitted &submitted) { return mayPlay(step.kind, submitted); });
+        const auto submission = pick(simulation_.submissions(), step.choice,
+                                     [&](const LedgerSimulation::Submitted &submitted) {
+                                         return isApplicable(step.kind, submitted);
+                                     });
         if (!submission) {
             return;
         }
-        if (step.kind == Kind::Arrive) {
-            arrive(*submission, step);
-        } else if (step.kind == Kind::GiveUp) {
-            world_.giveUp(*submission);
+        if (step.kind == Kind::Deliver) {
+            deliver(*submission, step);
+        } else if (step.kind == Kind::AbandonForward) {
+            simulation_.abandonForward(*submission);
         } else if (step.kind == Kind::Dispatch) {
-            world_.dispatch(*submission);
+            simulation_.dispatch(*submission);
         } else {
-            world_.abandon(*submission);
+            simulation_.abandon(*submission);
         }
     }
 
     void submit(const Step &step)
     {
-        const auto entry = pickLife(step.detail);
-        if (entry && !world_.keys().empty()) {
+        const auto entry = pickLiveProcess(step.detail);
+        if (entry && !simulation_.keys().empty()) {
             const auto body = step.detail % 8 == 0 ? 2U : 1U;
-            world_.submit(step.choice % world_.keys().size(), body, step.choice % 5, *entry);
+            simulation_.submit(step.choice % simulation_.keys().size(), body, step.choice % 5,
+                               *entry);
         }
     }
 
-    void arrive(Index submission, const Step &step)
+    void deliver(Index submission, const Step &step)
     {
-        const auto &owner = world_.keys()[world_.submissions()[submission].key].owner;
-        const auto life = pick(world_.lives(), step.detail, [&](const World::Life &candidate) {
-            return candidate.up && (candidate.instance == owner || step.detail % 16 == 0);
-        });
-        if (life) {
-            world_.arrive(submission, *life);
+        const auto &owner = simulation_.keys()[simulation_.submissions()[submission].key].owner;
+        const auto process = pick(
+            simulation_.processes(), step.detail, [&](const LedgerSimulation::Process &candidate) {
+                return candidate.alive && (candidate.instance == owner || step.detail % 16 == 0);
+            });
+        if (process) {
+            simulation_.deliver(submission, *process);
         }
     }
 
-    bool mayPlay(Step::Kind kind, const World::Submitted &submitted) const
+    bool isApplicable(Step::Kind kind, const LedgerSimulation::Submitted &submitted) const
     {
-        if (kind == Step::Kind::Arrive) {
+        if (kind == Step::Kind::Deliver) {
             return submitted.phase == Phase::Forwarded;
         }
-        if (kind == Step::Kind::GiveUp) {
+        if (kind == Step::Kind::AbandonForward) {
             return submitted.phase == Phase::Forwarded
-                   || (submitted.phase != Phase::Over && submitted.at != submitted.entry);
+                   || (submitted.phase != Phase::Done && submitted.holder != submitted.entry);
         }
-        return submitted.phase == Phase::Holding && world_.lives()[submitted.at].up;
+        return submitted.phase == Phase::Reserved
+               && simulation_.processes()[submitted.holder].alive;
     }
 
-    void playOnSending(const Step &step)
+    void applyToAttempt(const Step &step)
     {
         using Kind = Step::Kind;
-        const auto sending = pick(world_.sendings(), step.choice, [&](const World::Sending &sent) {
-            return mayPlay(step.kind, sent);
-        });
-        if (!sending) {
+        const auto attempt = pick(simulation_.attempts(), step.choice,
+                                  [&](const LedgerSimulation::EndpointAttempt &sent) {
+                                      return isApplicable(step.kind, sent);
+                                  });
+        if (!attempt) {
             return;
         }
         if (step.kind == Kind::Run) {
-            world_.run(*sending);
-        } else if (step.kind == Kind::Refuse) {
-            world_.refuse(*sending);
+            simulation_.run(*attempt);
+        } else if (step.kind == Kind::Reject) {
+            simulation_.reject(*attempt);
         } else if (step.kind == Kind::Finished) {
-            world_.finished(*sending);
+            simulation_.finished(*attempt);
         } else if (step.kind == Kind::NotStarted) {
-            world_.notStarted(*sending);
+            simulation_.notStarted(*attempt);
         } else {
-            world_.closes(*sending);
+            simulation_.closeConnection(*attempt);
         }
     }
 
-    bool mayPlay(Step::Kind kind, const World::Sending &sent) const
+    bool isApplicable(Step::Kind kind, const LedgerSimulation::EndpointAttempt &sent) const
     {
         using Kind = Step::Kind;
-        const bool up = world_.lives()[world_.submissions()[sent.submission].at].up;
-        const bool onWay = sent.state == SendingState::OnWay;
+        const bool alive =
+            simulation_.processes()[simulation_.submissions()[sent.submission].holder].alive;
+        const bool inFlight = sent.state == AttemptState::InFlight;
         switch (kind) {
         case Kind::Run:
-            return onWay || sent.state == SendingState::OnWayClosed;
-        case Kind::Refuse:
-            return onWay;
+            return inFlight || sent.state == AttemptState::InFlightClosed;
+        case Kind::Reject:
+            return inFlight;
         case Kind::Finished:
-            return up && sent.state == SendingState::Answered;
+            return alive && sent.state == AttemptState::Answered;
         case Kind::NotStarted:
-            return up && sent.state == SendingState::Refused;
+            return alive && sent.state == AttemptState::Rejected;
         default:
-            return up && (onWay || sent.state == SendingState::Answered);
+            return alive && (inFlight || sent.state == AttemptState::Answered);
         }
     }
 
-    World world_;
+    LedgerSimulation simulation_;
 };
 
 } // namespace
 
-// Callers resend orders at every instance while instances are replaced without memory, woken late
-// beside their replacements, closed and handed over, and connections close at any moment. An order
-// that runs twice, or a "not run" of an order that ran, is brass cut twice.
+// Callers resend orders to any instance while instances are replaced without their records, resume
+// beside their replacements, are closed and handed over, and connections close at any time. No
+// order may run twice, and "not run" must not be reported for an order that ran, since its caller
+// would order again.
 TEST(AtMostOnce, HoldsInRandomSequencesOverSeveralLedgers)
 {
-    const auto holds = rc::check("at most once, truthful refusals, answers of their key", [] {
-        const auto steps = *rc::gen::container<std::vector<Step>>(300, anyStep());
-        Player player;
-        for (const auto &step : steps) {
-            player.play(step);
-            if (!player.world().violations().empty()) {
-                RC_FAIL(player.world().violations().front());
+    const auto holds =
+        rc::check("at most once, truthful refusals, replayed answers of the same key", [] {
+            const auto steps = *rc::gen::container<std::vector<Step>>(300, arbitraryStep());
+            StepRunner runner;
+            for (const auto &step : steps) {
+                runner.apply(step);
+                if (!runner.simulation().violations().empty()) {
+                    RC_FAIL(runner.simulation().violations().front());
+                }
             }
-        }
-    });
+        });
     EXPECT_TRUE(holds);
 }
 
--- a/Source/UnitTests/Ledger/HandoverTest.cpp
+++ b/Source/UnitTests/Ledger/HandoverTest.cpp
@@ -35,35 +35,35 @@
 
     IdempotencyKey mint()
     {
-        return leaving_.mint(Customer, now_).value();
+        return closing_.mint(Customer, now_).value();
     }
 
     Attempt dispatch(const IdempotencyKey &key)
     {
-        const auto proceed = std::get<Proceed>(leaving_.begin(submission(key), now_));
-        return leaving_.dispatched(proceed.reservation, now_).value();
+        const auto proceed = std::get<Proceed>(closing_.begin(submission(key), now_));
+        return closing_.dispatched(proceed.reservation, now_).value();
     }
 
     IdempotencyKey run(const std::string &body)
     {
         auto key = mint();
-        EXPECT_TRUE(leaving_.finished(dispatch(key), {200, "", body}, now_));
+        EXPECT_TRUE(closing_.finished(dispatch(key), {200, "", body}, now_));
         return key;
     }
 
     void handOver()
     {
-        leaving_.close();
-        ASSERT_TRUE(successor_.adopt(leaving_.handOver(now_).value(), now_));
+        closing_.close();
+        ASSERT_TRUE(successor_.adopt(closing_.handOver(now_).value(), now_));
     }
 
-    void expectRefused(const Submission &submission, RunState run, RejectionReason reason)
+    void expectRejected(const Submission &submission, RunState run, RejectionReason reason)
     {
         const auto outcome = successor_.begin(submission, now_);
-        const auto *refused = std::get_if<Rejected>(&outcome);
-        ASSERT_NE(refused, nullptr);
-        EXPECT_EQ(refused->run, run);
-        EXPECT_EQ(refused->reason, reason);
+        const auto *rejected = std::get_if<Rejected>(&outcome);
+        ASSERT_NE(rejected, nullptr);
+        EXPECT_EQ(rejected->run, run);
+        EXPECT_EQ(rejected->reason, reason);
     }
 
     std::string replayed(const IdempotencyKey &key)
@@ -72,7 +72,7 @@
     }
 
     Common::Time now_{3h};
-    Ledger leaving_{options(), {Common::InstanceId("a"), 7, 99, Common::Time(1h)}};
+    Ledger closing_{options(), {Common::InstanceId("a"), 7, 99, Common::Time(1h)}};
     Ledger successor_{options(), {Common::InstanceId("b"), 3, 11, Common::Time(2h)}};
 };
 
@@ -86,58 +86,58 @@
     const auto sent = dispatch(running);
     handOver();
     EXPECT_EQ(replayed(ran), "truck 4");
-    expectRefused(submission(ran, 2), RunState::NotRun, RejectionReason::OtherBody);
-    expectRefused(submission(unused), RunState::NotRun, RejectionReason::Closing);
+    expectRejected(submission(ran, 2), RunState::NotRun, RejectionReason::OtherBody);
+    expectRejected(submission(unused), RunState::NotRun, RejectionReason::Closing);
     EXPECT_EQ(successor_.knownRunState(unused, now_), RunState::NotRun);
-    expectRefused(submission(running), RunState::Unknown, RejectionReason::OutcomeUnknown);
-    ASSERT_TRUE(leaving_.finished(sent, {200, "", "truck 5"}, now_));
+    expectRejected(submission(running), RunState::Unknown, RejectionReason::OutcomeUnknown);
+    ASSERT_TRUE(closing_.finished(sent, {200, "", "truck 5"}, now_));
     handOver();
     EXPECT_EQ(replayed(running), "truck 5");
 }
 
-// A ledger that still begins requests hands itself over. The successor says "not run" of a key
-// that is used at the old instance a moment later.
+// If a ledger that still begins requests could be handed over, the successor would report "not run"
+// for a key that is then used at the old instance.
 TEST_F(HandoverTest, OpenLedgerCannotBeHandedOver)
 {
-    EXPECT_FALSE(leaving_.handOver(now_));
+    EXPECT_FALSE(closing_.handOver(now_));
 }
 
-// The leaving instance had run an order and dropped its record long ago. A key missing from the
-// handover may therefore be an old one that ran.
-TEST_F(HandoverTest, KeysFromBeforeTheLastRecordsAreUnknown)
+// The closing instance ran an order and has removed its record since. A key that is missing from
+// the handover may therefore have run.
+TEST_F(HandoverTest, KeysOlderThanTheRetentionTimeAreUnknown)
 {
     const auto old = run("truck 4");
     now_ += 50min;
-    leaving_.tick(now_);
-    ASSERT_EQ(leaving_.recordCount(), 0);
+    closing_.tick(now_);
+    ASSERT_EQ(closing_.recordCount(), 0);
     const auto young = mint();
     handOver();
-    expectRefused(submission(old), RunState::Unknown, RejectionReason::IncarnationGone);
-    expectRefused(submission(young), RunState::NotRun, RejectionReason::Closing);
+    expectRejected(submission(old), RunState::Unknown, RejectionReason::IncarnationGone);
+    expectRejected(submission(young), RunState::NotRun, RejectionReason::Closing);
 }
 
-TEST_F(HandoverTest, YoungestAnswersGoFirst)
+TEST_F(HandoverTest, NewestAnswersAreHandedOverFirst)
 {
     const auto first = run(std::string(20, 'a'));
     const auto second = run(std::string(20, 'b'));
     handOver();
-    expectRefused(submission(first), RunState::Ran, RejectionReason::AnswerNotKept);
+    expectRejected(submission(first), RunState::Ran, RejectionReason::AnswerNotKept);
     EXPECT_EQ(replayed(second), std::string(20, 'b'));
 }
 
-TEST_F(HandoverTest, HandoverWithoutRoomLeavesTheKeysUnknown)
+TEST_F(HandoverTest, HandoverBeyondTheLimitLeavesTheKeysUnknown)
 {
     const auto unused = mint();
     for (int i = 0; i < 6; ++i) {
         run("");
     }
-    leaving_.close();
-    EXPECT_FALSE(successor_.adopt(leaving_.handOver(now_).value(), now_));
+    closing_.close();
+    EXPECT_FALSE(successor_.adopt(closing_.handOver(now_).value(), now_));
     EXPECT_EQ(successor_.knownRunState(unused, now_), RunState::Unknown);
     EXPECT_TRUE(std::holds_alternative<OwnedElsewhere>(successor_.begin(submission(unused), now_)));
 }
 
-TEST_F(HandoverTest, HandoverIsForgottenAfterTheTimeForAnswers)
+TEST_F(HandoverTest, HandoverIsRemovedAfterTheRetentionTime)
 {
     const auto ran = run("truck 4");
     handOver();
@@ -146,36 +146,36 @@
     EXPECT_EQ(successor_.knownRunState(ran, now_), RunState::Unknown);
 }
 
-TEST_F(HandoverTest, AlteredKeyAndOlderHandoverAreRefused)
+TEST_F(HandoverTest, AlteredKeyAndOlderHandoverAreRejected)
 {
     auto altered = mint();
-    leaving_.close();
-    const auto first = leaving_.handOver(now_).value();
+    closing_.close();
+    const auto first = closing_.handOver(now_).value();
     handOver();
     EXPECT_FALSE(successor_.adopt(first, now_));
     altered.issueOffset += 1h;
-    expectRefused(submission(altered), RunState::Unknown, RejectionReason::NotMinted);
+    expectRejected(submission(altered), RunState::Unknown, RejectionReason::NotMinted);
 }
 
-TEST_F(HandoverTest, TravelsBetweenProcesses)
+TEST_F(HandoverTest, SurvivesSerialization)
 {
     const auto ran = run("truck 4");
     const auto unused = mint();
-    leaving_.close();
+    closing_.close();
     std::stringstream stream;
     {
         cereal::BinaryOutputArchive out(stream);
-        out(leaving_.handOver(now_).value());
+        out(closing_.handOver(now_).value());
     }
     Handover received;
     cereal::BinaryInputArchive in(stream);
     in(received);
     ASSERT_TRUE(successor_.adopt(received, now_));
     EXPECT_EQ(replayed(ran), "truck 4");
-    expectRefused(submission(unused), RunState::NotRun, RejectionReason::Closing);
+    expectRejected(submission(unused), RunState::NotRun, RejectionReason::Closing);
 }
 
-TEST_F(HandoverTest, EveryoneFindsTheSameSuccessor)
+TEST_F(HandoverTest, AllInstancesSelectTheSameSuccessor)
 {
     const Common::InstanceId a("a");
     const Common::InstanceId b("b");
--- a/Source/UnitTests/Ledger/IdempotencyKeyTest.cpp
+++ b/Source/UnitTests/Ledger/IdempotencyKeyTest.cpp
@@ -20,9 +20,9 @@
 
 } // namespace
 
-TEST(IdempotencyKey, TextGivesTheKeyBack)
+TEST(IdempotencyKey, ParsesItsOwnText)
 {
-    const auto holds = rc::check("parse(text()) is the key", [] {
+    const auto holds = rc::check("parse(text()) returns the key", [] {
         const auto key = anyKey();
         RC_PRE(key.text().size() <= Ledger::MaxKeyTextBytes);
         const auto parsed = IdempotencyKey::parse(key.text());
@@ -32,11 +32,11 @@
     EXPECT_TRUE(holds);
 }
 
-// A clerk reads a key over the telephone and one character is wrong. Taken for another key, the
-// order could run beside the one that the true key stands for.
-TEST(IdempotencyKey, FindsATypo)
+// A key is retyped with one wrong character. If it were accepted as another key, the order could
+// run in addition to the one under the original key.
+TEST(IdempotencyKey, DetectsAChangedCharacter)
 {
-    const auto holds = rc::check("one changed character is found", [] {
+    const auto holds = rc::check("one changed character is detected", [] {
         auto text = anyKey().text();
         RC_PRE(text.size() <= Ledger::MaxKeyTextBytes);
         const auto at = *rc::gen::inRange<std::size_t>(0, text.size());
@@ -48,7 +48,7 @@
     EXPECT_TRUE(holds);
 }
 
-TEST(IdempotencyKey, RefusesForeignText)
+TEST(IdempotencyKey, RejectsTextOfOtherFormats)
 {
     const std::string_view texts[] = {"",
                                       ".......",
--- a/Source/UnitTests/Ledger/TraceTest.cpp
+++ b/Source/UnitTests/Ledger/TraceTest.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-using Index = World::Index;
+using Index = LedgerSimulation::Index;
 
-/// A line of a trace, as Models/Idempotency.pml prints it: "dispatch s0 -> sent".
+/// A line of a trace as printed by Models/Idempotency.pml, for example "dispatch s0 -> sent".
 struct TraceLine
 {
     std::string event;
@@ -37,7 +37,7 @@
 
 using Trace = std::vector<std::string>;
 
-/// The traces of a file, divided by empty lines.
+/// Reads the traces of a file, which are separated by empty lines.
 std::vector<Trace> readTraces(const std::string &file)
 {
     std::ifstream input(std::string(LC_TRACES) + "/" + file);
@@ -55,24 +55,24 @@
     return traces;
 }
 
-/// Performs the events of a trace on the C++ state machine and gives its own outcomes.
+/// Performs the events of a trace on the C++ state machine and returns the outcomes.
 class Replayer
 {
 public:
     Replayer()
-        : world_(options())
+        : simulation_(options())
     {
-        lives_["a0"] = world_.start("a");
-        lives_["b0"] = world_.start("b");
-        start_ = world_.now();
-        world_.mint(lives_.at("a0"));
-        world_.advance(KeyGap);
-        world_.mint(lives_.at("a0"));
-        world_.advance(-KeyGap);
+        processes_["a0"] = simulation_.start("a");
+        processes_["b0"] = simulation_.start("b");
+        start_ = simulation_.now();
+        simulation_.mint(processes_.at("a0"));
+        simulation_.advance(KeyGap);
+        simulation_.mint(processes_.at("a0"));
+        simulation_.advance(-KeyGap);
     }
 
-    /// Empty for events without an outcome, and for those that the machine no longer comes to after
-    /// it has refused an earlier one.
+    /// Returns an empty string for events without an outcome, and for those that the state machine
+    /// cannot reach because it rejected an earlier one.
     std::string perform(const TraceLine &line)
     {
         const auto &words = line.arguments;
@@ -80,29 +80,29 @@
             return begin(number(words[0]), number(words[1]), words[2]);
         }
         if (line.event == "age") {
-            growOld(number(words[0]), std::stoul(words[1]));
+            advanceToAge(number(words[0]), std::stoul(words[1]));
             return {};
         }
         if (line.event == "hand-over") {
-            return world_.handOver(lives_.at("a0"), lives_.at("b0"));
+            return simulation_.handOver(processes_.at("a0"), processes_.at("b0"));
         }
         if (words.empty()) {
-            performOnLife(line.event);
+            performOnProcess(line.event);
             return {};
         }
         const auto submission = number(words[0]);
         return words.size() == 1 ? performOnSubmission(line.event, submission)
-                                 : performOnSending(line.event, submission, std::stoul(words[1]));
+                                 : performOnAttempt(line.event, submission, std::stoul(words[1]));
     }
 
     const std::vector<std::string> &violations() const
     {
-        return world_.violations();
+        return simulation_.violations();
     }
 
 private:
-    /// Key 1 is issued so much later that key 0 is forgotten by then; each age of the model begins
-    /// more than the time for kept answers after the one before.
+    /// Key 1 is issued so late that key 0 is forgotten before key 1 expires. Consecutive ages of
+    /// the model are further apart than keptAnswerTime.
     static constexpr Common::Duration KeyGap = 60min;
     static constexpr Common::Duration AgeStep = 31min;
     static constexpr Common::Duration Deadline = 1s;
@@ -122,76 +122,78 @@
         return std::stoul(word.substr(1));
     }
 
-    std::string begin(Index submission, Index key, const std::string &life)
+    std::string begin(Index submission, Index key, const std::string &process)
     {
-        if (submission == world_.submissions().size()) {
-            return world_.submit(key, 1, submission, lives_.at(life));
+        if (submission == simulation_.submissions().size()) {
+            return simulation_.submit(key, 1, submission, processes_.at(process));
         }
-        if (world_.submissions().at(submission).phase != World::Phase::Forwarded) {
+        if (simulation_.submissions().at(submission).phase != LedgerSimulation::Phase::Forwarded) {
             return {};
         }
-        return world_.arrive(submission, lives_.at(life));
+        return simulation_.deliver(submission, processes_.at(process));
     }
 
-    void growOld(Index key, std::size_t age)
+    void advanceToAge(Index key, std::size_t age)
     {
         const auto steps = 2 * key + age - 1;
         const auto target = start_ + options().keyLifetime + steps * AgeStep;
-        world_.advance(target - world_.now());
-        world_.tick(lives_.at("a0"));
+        simulation_.advance(target - simulation_.now());
+        simulation_.tick(processes_.at("a0"));
     }
 
-    void performOnLife(const std::string &event)
+    void performOnProcess(const std::string &event)
     {
         if (event == "deadline") {
-            world_.advance(Deadline);
+            simulation_.advance(Deadline);
         } else if (event == "replace") {
-            lives_["a1"] = world_.start("a");
+            processes_["a1"] = simulation_.start("a");
         } else if (event == "kill") {
-            world_.kill(lives_.at("a0"));
+            simulation_.kill(processes_.at("a0"));
         } else if (event == "close") {
-            world_.close(lives_.at("a0"));
+            simulation_.close(processes_.at("a0"));
         }
     }
 
     std::string performOnSubmission(const std::string &event, Index submission)
     {
         if (event == "give-up") {
-            return world_.giveUp(submission);
+            return simulation_.abandonForward(submission);
         }
-        return event == "dispatch" ? world_.dispatch(submission) : world_.abandon(submission);
+        return event == "dispatch" ? simulation_.dispatch(submission)
+                                   : simulation_.abandon(submission);
     }
 
-    std::string performOnSending(const std::string &event, Index submission, Index sendingNumber)
+    std::string performOnAttempt(const std::string &event, Index submission, Index attemptNumber)
     {
-        if (sendingNumber >= world_.submissions().at(submission).sendings.size()) {
+        if (attemptNumber >= simulation_.submissions().at(submission).attempts.size()) {
             return {};
         }
-        const auto sending = world_.sending(submission, sendingNumber);
+        const auto attempt = simulation_.attempt(submission, attemptNumber);
         if (event == "finished") {
-            return world_.finished(sending);
+            return simulation_.finished(attempt);
         }
         if (event == "not-started") {
-            return world_.notStarted(sending);
+            return simulation_.notStarted(attempt);
         }
         if (event == "closes") {
-            return world_.closes(sending);
+            return simulation_.closeConnection(attempt);
         }
-        event == "run" ? world_.run(sending) : world_.refuse(sending);
+        event == "run" ? simulation_.run(attempt) : simulation_.reject(attempt);
         return {};
     }
 
-    World world_;
-    std::map<std::string, Index> lives_;
+    LedgerSimulation simulation_;
+    std::map<std::string, Index> processes_;
     Common::Time start_;
 };
 
-/// What the checker found with one guard left out, and how the real machine answers instead.
+/// A counterexample of the model checker with one guard disabled, and how the real state machine
+/// responds instead.
 struct Counterexample
 {
     const char *guard;
-    /// The first line at which the machine departs from the trace, with its own outcome.
-    const char *refusal;
+    /// The first line whose outcome differs, with the outcome of the state machine.
+    const char *deviation;
 };
 
 std::ostream &operator<<(std::ostream &stream, const Counterexample &counterexample)
@@ -224,31 +226,31 @@
 
 } // namespace
 
-// Each trace is a way in which an order would run twice, or in which its caller would be told "not
-// run" of an order that ran, if one guard were missing. The machine must refuse where the guard is,
-// and nothing wrong may come of the events that follow.
-TEST_P(CounterexampleTest, IsRefusedByTheStateMachine)
+// With one guard missing, each trace runs an order twice or reports "not run" for an order that
+// ran. The state machine must deviate where the guard applies, and the events that follow must not
+// violate any invariant.
+TEST_P(CounterexampleTest, IsPreventedByTheStateMachine)
 {
     const auto traces = readTraces(std::string(GetParam().guard) + ".txt");
     ASSERT_EQ(traces.size(), 1);
     Replayer replayer;
-    std::string refusal;
+    std::string deviation;
     for (const auto &text : traces.front()) {
         const auto line = parseLine(text);
         const auto outcome = replayer.perform(line);
-        if (refusal.empty() && outcome != line.outcome) {
-            refusal = text.substr(0, text.find("->")) + "-> " + outcome;
+        if (deviation.empty() && outcome != line.outcome) {
+            deviation = text.substr(0, text.find("->")) + "-> " + outcome;
         }
     }
-    EXPECT_EQ(refusal, GetParam().refusal);
+    EXPECT_EQ(deviation, GetParam().deviation);
     EXPECT_EQ(replayer.violations(), std::vector<std::string>());
 }
 
 INSTANTIATE_TEST_SUITE_P(Ledger, CounterexampleTest, testing::ValuesIn(Counterexamples),
                          [](const auto &info) { return std::string(info.param.guard); });
 
-// The model proves something about the code only while both do the same. Random walks of the model
-// with all guards are replayed here, and every outcome must be the same.
+// Results about the model apply to the code only while both behave the same. Replays random walks
+// of the model with all guards; every outcome must match.
 TEST(ModelTest, RandomWalksOfTheModelGiveTheSameOutcomes)
 {
     const auto walks = readTraces("walks.txt");
--- a/Source/UnitTests/Ledger/World.cpp
+++ b/Source/UnitTests/Ledger/World.cpp
@@ -13,9 +13,9 @@
 const Common::CustomerName Customer("school");
 constexpr Common::Duration Deadline = std::chrono::seconds(1);
 
-std::string wordOf(RunState told)
+std::string traceWord(RunState reportedState)
 {
-    return told == RunState::NotRun ? "not_run" : std::string(toString(told));
+    return reportedState == RunState::NotRun ? "not_run" : std::string(toString(reportedState));
 }
 
 std::string recordedOrIgnored(const Common::Result<void> &result)
@@ -33,58 +33,59 @@
 
 } // namespace
 
-World::World(LedgerOptions options)
+LedgerSimulation::LedgerSimulation(LedgerOptions options)
     : options_(options)
 {
 }
 
-World::Index World::start(const std::string &instance)
+LedgerSimulation::Index LedgerSimulation::start(const std::string &instance)
 {
     const Common::InstanceId id(instance);
     const auto incarnation = ++lastIncarnation_;
-    lives_.push_back({id, Ledger(options_, {id, incarnation, incarnation * 77, now_})});
-    return lives_.size() - 1;
+    processes_.push_back({id, Ledger(options_, {id, incarnation, incarnation * 77, now_})});
+    return processes_.size() - 1;
 }
 
-void World::kill(Index life)
+void LedgerSimulation::kill(Index process)
 {
-    lives_[life].up = false;
+    processes_[process].alive = false;
 }
 
-World::Index World::mint(Index life)
+LedgerSimulation::Index LedgerSimulation::mint(Index process)
 {
-    const auto key = lives_[life].ledger.mint(Customer, now_);
+    const auto key = processes_[process].ledger.mint(Customer, now_);
     if (key) {
         keys_.push_back(*key);
     }
     return keys_.size() - 1;
 }
 
-void World::close(Index life)
+void LedgerSimulation::close(Index process)
 {
-    lives_[life].ledger.close();
+    processes_[process].ledger.close();
 }
 
-std::string World::handOver(Index from, Index to)
+std::string LedgerSimulation::handOver(Index from, Index to)
 {
-    auto handover = lives_[from].ledger.handOver(now_);
-    const bool adopted = handover && lives_[to].ledger.adopt(*std::move(handover), now_);
-    checkClaims();
+    auto handover = processes_[from].ledger.handOver(now_);
+    const bool adopted = handover && processes_[to].ledger.adopt(*std::move(handover), now_);
+    checkReportedStates();
     return adopted ? "adopted" : "refused";
 }
 
-void World::advance(Common::Duration duration)
+void LedgerSimulation::advance(Common::Duration duration)
 {
     now_ += duration;
 }
 
-void World::tick(Index life)
+void LedgerSimulation::tick(Index process)
 {
-    lives_[life].ledger.tick(now_);
-    checkClaims();
+    processes_[process].ledger.tick(now_);
+    checkReportedStates();
 }
 
-std::string World::submit(Index key, std::uint64_t body, std::uint64_t order, Index entry)
+std::string LedgerSimulation::submit(Index key, std::uint64_t body, std::uint64_t order,
+                                     Index entry)
 {
     Submitted submitted;
     submitted.key = key;
@@ -95,175 +96,178 @@
     return begin(submissions_.size() - 1, entry);
 }
 
-std::string World::arrive(Index submission, Index life)
+std::string LedgerSimulation::deliver(Index submission, Index process)
 {
-    return begin(submission, life);
+    return begin(submission, process);
 }
 
-std::string World::begin(Index submission, Index life)
+std::string LedgerSimulation::begin(Index submission, Index process)
 {
     auto &submitted = submissions_[submission];
-    const bool forwarded = life != submitted.entry;
+    const bool forwarded = process != submitted.entry;
     const Submission request{keys_[submitted.key], Customer, submitted.body,
                              submitted.order,      false,    now_ + Deadline};
-    const auto outcome = lives_[life].ledger.begin(request, now_);
-    const auto visitor =
-        Overloaded{[&](const Proceed &proceed) {
-                       submitted.at = life;
-                       submitted.reservation = proceed.reservation;
-                       submitted.phase = Phase::Holding;
-                       return std::string("proceed");
-                   },
-                   [&](const ReplayAnswer &replay) {
-                       checkAnswer(submitted, *replay.answer);
-                       return conclude(submission, RunState::Ran);
-                   },
-                   [&](const StillRunning &) { return conclude(submission, RunState::Unknown); },
-                   [&](const Rejected &refused) { return conclude(submission, refused.run); },
-                   [&](const OwnedElsewhere &) {
-                       if (forwarded) {
-                           return conclude(submission, OwnerUnreachableRunState);
-                       }
-                       submitted.phase = Phase::Forwarded;
-                       return std::string("elsewhere");
-                   }};
+    const auto outcome = processes_[process].ledger.begin(request, now_);
+    const auto visitor = Overloaded{
+        [&](const Proceed &proceed) {
+            submitted.holder = process;
+            submitted.reservation = proceed.reservation;
+            submitted.phase = Phase::Reserved;
+            return std::string("proceed");
+        },
+        [&](const ReplayAnswer &replay) {
+            checkAnswer(submitted, *replay.answer);
+            return completeSubmission(submission, RunState::Ran);
+        },
+        [&](const StillRunning &) { return completeSubmission(submission, RunState::Unknown); },
+        [&](const Rejected &rejected) { return completeSubmission(submission, rejected.run); },
+        [&](const OwnedElsewhere &) {
+            if (forwarded) {
+                return completeSubmission(submission, OwnerUnreachableRunState);
+            }
+            submitted.phase = Phase::Forwarded;
+            return std::string("elsewhere");
+        }};
     auto word = std::visit(visitor, outcome);
-    checkClaims();
+    checkReportedStates();
     return word;
 }
 
-std::string World::conclude(Index submission, RunState told)
+std::string LedgerSimulation::completeSubmission(Index submission, RunState reportedState)
 {
-    submissions_[submission].phase = Phase::Over;
-    tell(submission, told);
-    return wordOf(told);
+    submissions_[submission].phase = Phase::Done;
+    report(submission, reportedState);
+    return traceWord(reportedState);
 }
 
-std::string World::giveUp(Index submission)
+std::string LedgerSimulation::abandonForward(Index submission)
 {
-    tell(submission, OwnerUnreachableRunState);
-    return wordOf(OwnerUnreachableRunState);
+    report(submission, OwnerUnreachableRunState);
+    return traceWord(OwnerUnreachableRunState);
 }
 
-std::string World::dispatch(Index submission)
+std::string LedgerSimulation::dispatch(Index submission)
 {
     auto &submitted = submissions_[submission];
-    const auto dispatch = lives_[submitted.at].ledger.dispatched(submitted.reservation, now_);
-    if (dispatch) {
+    const auto attempt =
+        processes_[submitted.holder].ledger.dispatched(submitted.reservation, now_);
+    if (attempt) {
         submitted.phase = Phase::Sent;
-        submitted.sendings.push_back(sendings_.size());
-        sendings_.push_back({submission, *dispatch});
-        checkClaims();
+        submitted.attempts.push_back(attempts_.size());
+        attempts_.push_back({submission, *attempt});
+        checkReportedStates();
         return "sent";
     }
-    if (dispatch.error().code != Common::ErrorCode::DeadlineExceeded) {
+    if (attempt.error().code != Common::ErrorCode::DeadlineExceeded) {
         return "refused";
     }
-    return conclude(submission, RunState::NotRun);
+    return completeSubmission(submission, RunState::NotRun);
 }
 
-std::string World::abandon(Index submission)
+std::string LedgerSimulation::abandon(Index submission)
 {
     auto &submitted = submissions_[submission];
-    if (!lives_[submitted.at].ledger.abandonedBeforeDispatch(submitted.reservation, now_)) {
+    if (!processes_[submitted.holder].ledger.abandonedBeforeDispatch(submitted.reservation, now_)) {
         return "refused";
     }
-    return conclude(submission, RunState::NotRun);
+    return completeSubmission(submission, RunState::NotRun);
 }
 
-void World::run(Index sending)
+void LedgerSimulation::run(Index attempt)
 {
-    auto &sent = sendings_[sending];
+    auto &sent = attempts_[attempt];
     const auto &submitted = submissions_[sent.submission];
-    sent.state = sent.state == SendingState::OnWay ? SendingState::Answered : SendingState::Over;
+    sent.state = sent.state == AttemptState::InFlight ? AttemptState::Answered : AttemptState::Done;
     runs_.push_back({submitted.key, submitted.body});
     if (runsOf(submitted.key, std::nullopt) > 1) {
         violations_.push_back(fmt::format("at most once: key {} ran again", submitted.key));
     }
-    if (submitted.excluded) {
-        violations_.push_back(
-            fmt::format("truthful refusal: submission {} ran after \"not run\"", sent.submission));
+    if (submitted.mustNotRun) {
+        violations_.push_back(fmt::format(
+            "truthful refusal: submission {} ran after \"not run\" was reported", sent.submission));
     }
 }
 
-void World::refuse(Index sending)
+void LedgerSimulation::reject(Index attempt)
 {
-    sendings_[sending].state = SendingState::Refused;
+    attempts_[attempt].state = AttemptState::Rejected;
 }
 
-std::string World::finished(Index sending)
+std::string LedgerSimulation::finished(Index attempt)
 {
-    auto &sent = sendings_[sending];
-    sent.state = SendingState::Over;
+    auto &sent = attempts_[attempt];
+    sent.state = AttemptState::Done;
     const auto &submitted = submissions_[sent.submission];
     const auto result =
-        ledgerOf(sent).finished(sent.dispatch, {200, "text/plain", answerTo(submitted)}, now_);
+        ledgerOf(sent).finished(sent.ledgerAttempt, {200, "text/plain", answerTo(submitted)}, now_);
     if (result) {
-        conclude(sent.submission, RunState::Ran);
+        completeSubmission(sent.submission, RunState::Ran);
     }
-    checkClaims();
+    checkReportedStates();
     return recordedOrIgnored(result);
 }
 
-std::string World::notStarted(Index sending)
+std::string LedgerSimulation::notStarted(Index attempt)
 {
-    auto &sent = sendings_[sending];
-    const auto result = ledgerOf(sent).notStarted(sent.dispatch, now_);
+    auto &sent = attempts_[attempt];
+    const auto result = ledgerOf(sent).notStarted(sent.ledgerAttempt, now_);
     if (result) {
-        submissions_[sent.submission].phase = Phase::Holding;
+        submissions_[sent.submission].phase = Phase::Reserved;
     }
-    checkClaims();
+    checkReportedStates();
     return recordedOrIgnored(result);
 }
 
-std::string World::closes(Index sending)
+std::string LedgerSimulation::closeConnection(Index attempt)
 {
-    auto &sent = sendings_[sending];
-    const bool onWay = sent.state == SendingState::OnWay;
-    sent.state = onWay ? SendingState::OnWayClosed : SendingState::Over;
-    if (!ledgerOf(sent).lost(sent.dispatch, now_)) {
+    auto &sent = attempts_[attempt];
+    const bool inFlight = sent.state == AttemptState::InFlight;
+    sent.state = inFlight ? AttemptState::InFlightClosed : AttemptState::Done;
+    if (!ledgerOf(sent).lost(sent.ledgerAttempt, now_)) {
         return "ignored";
     }
-    conclude(sent.submission, RunState::Unknown);
-    checkClaims();
+    completeSubmission(sent.submission, RunState::Unknown);
+    checkReportedStates();
     return "lost";
 }
 
-World::Index World::sending(Index submission, Index number) const
+LedgerSimulation::Index LedgerSimulation::attempt(Index submission, Index number) const
 {
-    return submissions_[submission].sendings.at(number);
+    return submissions_[submission].attempts.at(number);
 }
 
-void World::tell(Index submission, RunState told)
+void LedgerSimulation::report(Index submission, RunState reportedState)
 {
     auto &submitted = submissions_[submission];
-    if (submitted.told) {
+    if (submitted.reportedState) {
         return;
     }
-    submitted.told = told;
-    if (told == RunState::NotRun) {
-        submitted.excluded = true;
-        checkNotRun(submitted);
+    submitted.reportedState = reportedState;
+    if (reportedState == RunState::NotRun) {
+        submitted.mustNotRun = true;
+        checkRejection(submitted);
     }
-    if (told == RunState::Ran && runsOf(submitted.key, submitted.body) != 1) {
-        violations_.push_back(fmt::format("submission {} was told \"ran\"", submission));
+    if (reportedState == RunState::Ran && runsOf(submitted.key, submitted.body) != 1) {
+        violations_.push_back(
+            fmt::format("submission {} did not run once, but \"ran\" was reported", submission));
     }
 }
 
-void World::checkNotRun(const Submitted &refused)
+void LedgerSimulation::checkRejection(const Submitted &rejected)
 {
-    if (runsOf(refused.key, refused.body) > 0) {
-        violations_.push_back(fmt::format("truthful refusal: key {} had run", refused.key));
+    if (runsOf(rejected.key, rejected.body) > 0) {
+        violations_.push_back(fmt::format(
+            "truthful refusal: key {} had run before \"not run\" was reported", rejected.key));
     }
     for (auto &other : submissions_) {
-        const bool holds = other.phase == Phase::Holding || other.phase == Phase::Sent;
-        if (holds && other.key == refused.key && other.body == refused.body) {
-            other.excluded = true;
+        const bool holds = other.phase == Phase::Reserved || other.phase == Phase::Sent;
+        if (holds && other.key == rejected.key && other.body == rejected.body) {
+            other.mustNotRun = true;
         }
     }
 }
 
-void World::checkAnswer(const Submitted &submitted, const KeptAnswer &answer)
+void LedgerSimulation::checkAnswer(const Submitted &submitted, const KeptAnswer &answer)
 {
     if (answer.body != answerTo(submitted)) {
         violations_.push_back(
@@ -271,36 +275,36 @@
     }
 }
 
-/// Whatever any life would claim about any key must be true at any moment.
-void World::checkClaims()
+/// The run state that any process may report for any key must be true at all times.
+void LedgerSimulation::checkReportedStates()
 {
-    for (const auto &life : lives_) {
+    for (const auto &process : processes_) {
         for (Index key = 0; key < keys_.size(); ++key) {
-            const auto knownRunState = life.ledger.knownRunState(keys_[key], now_);
+            const auto knownRunState = process.ledger.knownRunState(keys_[key], now_);
             const int runs = runsOf(key, std::nullopt);
             if ((knownRunState == RunState::NotRun && runs > 0)
                 || (knownRunState == RunState::Ran && runs == 0)) {
-                violations_.push_back(fmt::format("{} claims \"{}\" of key {}",
-                                                  life.instance.text(), wordOf(knownRunState),
+                violations_.push_back(fmt::format("{} reports \"{}\" for key {}",
+                                                  process.instance.text(), traceWord(knownRunState),
                                                   key));
             }
         }
     }
 }
 
-int World::runsOf(Index key, std::optional<std::uint64_t> body) const
+int LedgerSimulation::runsOf(Index key, std::optional<std::uint64_t> body) const
 {
     return static_cast<int>(std::count_if(runs_.begin(), runs_.end(), [&](const Run &run) {
         return run.key == key && (!body || run.body == *body);
     }));
 }
 
-Ledger &World::ledgerOf(const Sending &sending)
+Ledger &LedgerSimulation::ledgerOf(const EndpointAttempt &attempt)
 {
-    return lives_[submissions_[sending.submission].at].ledger;
+    return processes_[submissions_[attempt.submission].holder].ledger;
 }
 
-std::string World::answerTo(const Submitted &submitted) const
+std::string LedgerSimulation::answerTo(const Submitted &submitted) const
 {
     return fmt::format("answer to key {} body {}", submitted.key, submitted.body);
 }
