--- a/Source/Core/Gateway/AsyncLedger.cpp
+++ b/Source/Core/Gateway/AsyncLedger.cpp
@@ -29,13 +29,13 @@
     });
 }
 
-asio::awaitable<Common::Result<L::Dispatch>> AsyncLedger::dispatched(const L::Attempt &attempt)
+asio::awaitable<Common::Result<L::Attempt>> AsyncLedger::dispatched(const L::Reservation &attempt)
 {
     return run(
         [attempt](L::Ledger &ledger, Common::Time now) { return ledger.dispatched(attempt, now); });
 }
 
-asio::awaitable<Common::Result<void>> AsyncLedger::notStarted(const L::Dispatch &dispatch)
+asio::awaitable<Common::Result<void>> AsyncLedger::notStarted(const L::Attempt &dispatch)
 {
     return run([dispatch](L::Ledger &ledger, Common::Time now) {
         return ledger.notStarted(dispatch, now);
@@ -43,14 +43,14 @@
 }
 
 asio::awaitable<Common::Result<void>>
-AsyncLedger::abandonedBeforeDispatch(const L::Attempt &attempt)
+AsyncLedger::abandonedBeforeDispatch(const L::Reservation &attempt)
 {
     return run([attempt](L::Ledger &ledger, Common::Time now) {
         return ledger.abandonedBeforeDispatch(attempt, now);
     });
 }
 
-asio::awaitable<Common::Result<void>> AsyncLedger::finished(const L::Dispatch &dispatch,
+asio::awaitable<Common::Result<void>> AsyncLedger::finished(const L::Attempt &dispatch,
                                                             const L::KeptAnswer &answer)
 {
     return run([dispatch, answer](L::Ledger &ledger, Common::Time now) {
@@ -58,7 +58,7 @@
     });
 }
 
-asio::awaitable<Common::Result<void>> AsyncLedger::lost(const L::Dispatch &dispatch)
+asio::awaitable<Common::Result<void>> AsyncLedger::lost(const L::Attempt &dispatch)
 {
     return run(
         [dispatch](L::Ledger &ledger, Common::Time now) { return ledger.lost(dispatch, now); });
@@ -79,7 +79,7 @@
 {
     return run([hints](L::Ledger &ledger, Common::Time now) {
         for (const auto &hint : hints) {
-            ledger.learn(hint, now);
+            ledger.addPeerHint(hint, now);
         }
         return Common::Result<void>();
     });
--- a/Source/Core/Gateway/CallProblems.h
+++ b/Source/Core/Gateway/CallProblems.h
@@ -11,7 +11,7 @@
 Entry::Problem rejectionProblem(const Decisions::Reject &rejection);
 
 /// The problem document for a rejection by the ledger.
-Entry::Problem ledgerProblem(const Ledger::Refused &rejection);
+Entry::Problem ledgerProblem(const Ledger::Rejected &rejection);
 
 /// The problem document for a failure reported by another instance.
 Entry::Problem problemOf(const Peers::AnswerFailure &failure);
--- a/Source/Core/Gateway/CallRunner.cpp
+++ b/Source/Core/Gateway/CallRunner.cpp
@@ -152,7 +152,7 @@
     submission.deadline = plan_.deadline;
     const auto outcome = co_await context_.ledger.begin(submission);
     if (const auto *proceed = std::get_if<L::Proceed>(&outcome)) {
-        ledgerAttempt_ = proceed->attempt;
+        ledgerAttempt_ = proceed->reservation;
         co_return true;
     }
     if (const auto *replay = std::get_if<L::ReplayAnswer>(&outcome)) {
@@ -168,7 +168,7 @@
         problem.run = Common::RunState::Unknown;
         problem.retryAfter = Common::seconds(1);
         co_await sendProblem(std::move(problem));
-    } else if (const auto *ledgerRejection = std::get_if<L::Refused>(&outcome)) {
+    } else if (const auto *ledgerRejection = std::get_if<L::Rejected>(&outcome)) {
         co_await sendProblem(ledgerProblem(*ledgerRejection));
     } else {
         co_await forwardToOwner(std::get<L::OwnedElsewhere>(outcome));
@@ -450,9 +450,9 @@
     Peers::AnswerFailure failure;
     failure.status = 504;
     failure.code = Common::ErrorCode::DeadlineExceeded;
-    failure.run = L::OwnerUnreachableClaim;
+    failure.run = L::OwnerUnreachableRunState;
     failure.detail =
-        "Idempotency-Key: " + std::string(L::toString(L::RefusalReason::OwnerUnreachable));
+        "Idempotency-Key: " + std::string(L::toString(L::RejectionReason::OwnerUnreachable));
     return failure;
 }
 
--- a/Source/Core/Gateway/CallRunner.h
+++ b/Source/Core/Gateway/CallRunner.h
@@ -92,7 +92,7 @@
     /// Relays the response of the instance that holds the key's record, or returns the problem to
     /// report to the caller.
     asio::awaitable<std::optional<Entry::Problem>>
-    forwardToKeyHolder(const PeerEntry *keyHolder, Ledger::RefusalReason reasonIfUnreachable);
+    forwardToKeyHolder(const PeerEntry *keyHolder, Ledger::RejectionReason reasonIfUnreachable);
     asio::awaitable<void> releaseKey();
     static Peers::AnswerFailure ownerTimeoutFailure();
     /// Forwards the request and relays the response; returns the failure of the peer, if any.
@@ -127,8 +127,8 @@
     std::unique_ptr<Dispatcher::Registration> registration_;
     std::unique_ptr<Endpoints::EndpointStream> stream_;
     std::unique_ptr<Peers::OutgoingCall> outgoingCall_;
-    std::optional<Ledger::Attempt> ledgerAttempt_;
-    std::optional<Ledger::Dispatch> ledgerDispatch_;
+    std::optional<Ledger::Reservation> ledgerAttempt_;
+    std::optional<Ledger::Attempt> ledgerDispatch_;
     std::optional<Entry::WholeAnswer> wholeAnswer_;
     std::optional<Entry::StreamContinuation> continuation_;
     Ledger::KeptAnswer recordedAnswer_;
--- a/Source/Core/Gateway/CallRunnerForward.cpp
+++ b/Source/Core/Gateway/CallRunnerForward.cpp
@@ -172,13 +172,13 @@
 }
 
 asio::awaitable<std::optional<Entry::Problem>>
-CallRunner::forwardToKeyHolder(const PeerEntry *keyHolder, L::RefusalReason reasonIfUnreachable)
+CallRunner::forwardToKeyHolder(const PeerEntry *keyHolder, L::RejectionReason reasonIfUnreachable)
 {
     Entry::Problem problem;
-    problem.run = L::OwnerUnreachableClaim;
+    problem.run = L::OwnerUnreachableRunState;
     if (keyHolder == nullptr || !keyHolder->channel || incoming_.forwarded) {
-        L::Refused ledgerRejection;
-        ledgerRejection.run = L::OwnerUnreachableClaim;
+        L::Rejected ledgerRejection;
+        ledgerRejection.run = L::OwnerUnreachableRunState;
         ledgerRejection.reason = reasonIfUnreachable;
         co_return ledgerProblem(ledgerRejection);
     }
@@ -200,7 +200,7 @@
         failure->code == Common::ErrorCode::Unavailable && failure->run == Common::RunState::NotRun;
     if (forwardNotSent_) {
         // This request did not reach the owner, but an earlier one with the same key may have.
-        problem.run = L::OwnerUnreachableClaim;
+        problem.run = L::OwnerUnreachableRunState;
     }
     co_return problem;
 }
@@ -215,10 +215,10 @@
     const bool ended = owner == nullptr || owner->dead || owner->incarnation > owned.incarnation;
     const auto *keyHolder = ended ? successorOf(owned, *table) : owner;
     auto problem = co_await forwardToKeyHolder(
-        keyHolder, ended ? L::RefusalReason::IncarnationGone : L::RefusalReason::OwnerUnreachable);
+        keyHolder, ended ? L::RejectionReason::IncarnationGone : L::RejectionReason::OwnerUnreachable);
     if (problem && forwardNotSent_ && !ended) {
         problem = co_await forwardToKeyHolder(successorOf(owned, *table),
-                                              L::RefusalReason::OwnerUnreachable);
+                                              L::RejectionReason::OwnerUnreachable);
     }
     if (problem) {
         co_await sendProblem(std::move(*problem));
