--- a/Source/Core/Async/Async.h
+++ b/Source/Core/Async/Async.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Public header of the library Async: the threads that run coroutines, and a mailbox between them.
+// Public header of the library Async: the thread pool that runs coroutines, and a queue between
+// threads.
 
 #include "Async/AsyncQueue.h"
 #include "Async/IoPool.h"
--- a/Source/Core/Async/AsyncQueue.h
+++ b/Source/Core/Async/AsyncQueue.h
@@ -18,8 +18,8 @@
 
 namespace asio = boost::asio;
 
-/// A mailbox into which any thread pushes and from which one coroutine pops. Copies share the
-/// mailbox. The executor must run on one thread only; all state is touched there.
+/// A queue with any number of producer threads and one consumer coroutine. Copies share the same
+/// queue. The executor must run on a single thread; all state is accessed there.
 template <typename T>
 class AsyncQueue
 {
@@ -37,7 +37,7 @@
         });
     }
 
-    /// Ends the mailbox: what is in it is still popped, then pop() returns nothing.
+    /// Closes the queue: remaining values can still be popped, then pop() returns nullopt.
     void close() const
     {
         asio::dispatch(state_->executor, [state = state_] {
@@ -46,10 +46,11 @@
         });
     }
 
-    /// The next value; nothing once the mailbox is closed and empty, or at the deadline.
+    /// Returns the next value, or nullopt once the queue is closed and empty or the deadline
+    /// passes.
     asio::awaitable<std::optional<T>> pop(Common::Time deadline = Common::Time::max()) const
     {
-        // A copy keeps the state alive should the mailbox go away during the wait.
+        // A copy keeps the state alive if the queue is destroyed during the wait.
         const auto state = state_;
         while (state->items.empty() && !state->closed) {
             boost::system::error_code error;
@@ -70,8 +71,8 @@
 private:
     struct State
     {
-        explicit State(asio::any_io_executor executorOfConsumer)
-            : executor(std::move(executorOfConsumer))
+        explicit State(asio::any_io_executor consumerExecutor)
+            : executor(std::move(consumerExecutor))
             , signal(executor)
         {
         }
@@ -85,7 +86,7 @@
     std::shared_ptr<State> state_;
 };
 
-/// Suspends the calling coroutine.
+/// Suspends the calling coroutine for the duration.
 inline asio::awaitable<void> sleepFor(Common::Duration duration)
 {
     asio::steady_timer timer(co_await asio::this_coro::executor);
--- a/Source/Core/Async/IoPool.cpp
+++ b/Source/Core/Async/IoPool.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-thread_local std::size_t indexOfThread = 0;
+thread_local std::size_t currentThreadIndex = 0;
 
 } // namespace
 
@@ -35,7 +35,7 @@
 {
     for (std::size_t index = 0; index < contexts_.size(); ++index) {
         threads_.emplace_back([this, index] {
-            indexOfThread = index;
+            currentThreadIndex = index;
             contexts_[index]->run();
         });
     }
@@ -57,12 +57,12 @@
 
 std::size_t IoPool::currentIndex()
 {
-    return indexOfThread;
+    return currentThreadIndex;
 }
 
 boost::asio::io_context &IoPool::next()
 {
-    return *contexts_[turn_.fetch_add(1, std::memory_order_relaxed) % contexts_.size()];
+    return *contexts_[nextIndex_.fetch_add(1, std::memory_order_relaxed) % contexts_.size()];
 }
 
 } // namespace LaburnumChute::Async
--- a/Source/Core/Async/IoPool.h
+++ b/Source/Core/Async/IoPool.h
@@ -10,8 +10,8 @@
 
 namespace LaburnumChute::Async {
 
-/// Threads that each run an io_context of their own. What is bound to one context runs on one
-/// thread and needs no lock.
+/// A pool of threads that each run their own io_context. Handlers of one context run on one thread
+/// and need no lock.
 class IoPool
 {
 public:
@@ -21,9 +21,9 @@
     IoPool &operator=(const IoPool &) = delete;
 
     void start();
-    /// Stops the contexts, joins the threads and destroys unfinished coroutines. To be called while
-    /// all that the coroutines refer to is alive; sockets and timers may be destroyed after it, but
-    /// before the pool.
+    /// Stops the contexts, joins the threads and destroys unfinished coroutines. Must be called
+    /// while everything the coroutines refer to is alive; sockets and timers may be destroyed
+    /// afterwards, but before the pool.
     void stop();
 
     std::size_t size() const
@@ -34,16 +34,16 @@
     {
         return *contexts_.at(index);
     }
-    /// The index of the context whose thread calls this; 0 on other threads.
+    /// Index of the context that runs on the calling thread; 0 on threads outside the pool.
     static std::size_t currentIndex();
-    /// The contexts in turn.
+    /// Returns the contexts in round-robin order.
     boost::asio::io_context &next();
 
 private:
     using Guard = boost::asio::executor_work_guard<boost::asio::io_context::executor_type>;
 
-    /// Lets the coroutines of a context be destroyed before the context is. Destroyed with it, they
-    /// would refer to parts of the program that are gone by then.
+    /// Allows the coroutines of a context to be destroyed before the context itself. Destroyed
+    /// together with it, they would refer to objects that no longer exist.
     class Context : public boost::asio::io_context
     {
     public:
@@ -54,7 +54,7 @@
     std::vector<std::unique_ptr<Context>> contexts_;
     std::vector<Guard> guards_;
     std::vector<std::thread> threads_;
-    std::atomic<std::size_t> turn_{0};
+    std::atomic<std::size_t> nextIndex_{0};
 };
 
 } // namespace LaburnumChute::Async
--- a/Source/Core/Async/RunOn.h
+++ b/Source/Core/Async/RunOn.h
@@ -12,8 +12,8 @@
 
 namespace LaburnumChute::Async {
 
-/// Runs the function on another context's thread and gives back what it returns, on the executor of
-/// the caller. The function must not refer to what may go away while the caller is suspended.
+/// Runs the function on another context's thread and returns its result on the caller's executor.
+/// The function must not refer to objects that may be destroyed while the caller is suspended.
 template <typename Function>
 auto runOn(asio::io_context &context, Function function) -> asio::awaitable<decltype(function())>
 {
