--- a/Source/Core/Peers/ChannelClient.cpp
+++ b/Source/Core/Peers/ChannelClient.cpp
@@ -20,7 +20,7 @@
     return ++last;
 }
 
-/// Connects or gives up after the time.
+/// Connects, or fails with timed_out after the given time.
 asio::awaitable<boost::system::error_code>
 connectWithin(tcp::socket &socket, tcp::endpoint endpoint, Common::Duration time)
 {
@@ -35,7 +35,7 @@
     boost::system::error_code error;
     co_await socket.async_connect(endpoint, asio::redirect_error(asio::use_awaitable, error));
     if (timer.cancel() == 0 && !error) {
-        // The timer has fired and its handler is about to close the socket under this coroutine.
+        // The timer has expired and its pending handler will close the socket; let it run first.
         co_await asio::post(socket.get_executor(), asio::use_awaitable);
         error = asio::error::timed_out;
     }
@@ -121,7 +121,7 @@
 {
     call->detachedSince = std::chrono::steady_clock::now();
     const auto &entry = calls_[id] = std::move(call);
-    if (greeted_) {
+    if (helloReceived_) {
         sendCall(id, *entry);
     } else {
         ensureConnected();
@@ -169,8 +169,8 @@
 
 asio::awaitable<void> ChannelClient::connect()
 {
-    if (ungreeted_) {
-        co_await Async::sleepFor(options_.reconnectPause);
+    if (closedBeforeHello_) {
+        co_await Async::sleepFor(options_.reconnectDelay);
     }
     while (!calls_.empty() && !stopped_) {
         tcp::socket socket(context_);
@@ -182,16 +182,16 @@
         }
         if (reason.empty()) {
             connecting_ = false;
-            adopt(std::move(socket));
+            startConnection(std::move(socket));
             co_return;
         }
-        failStranded("no connection to " + peer_.instance.text() + ": " + reason);
-        co_await Async::sleepFor(options_.reconnectPause);
+        failUnresumableCalls("no connection to " + peer_.instance.text() + ": " + reason);
+        co_await Async::sleepFor(options_.reconnectDelay);
     }
     connecting_ = false;
 }
 
-void ChannelClient::adopt(tcp::socket socket)
+void ChannelClient::startConnection(tcp::socket socket)
 {
     connection_ = std::make_shared<ChannelConnection>(std::move(socket), options_);
     const std::weak_ptr<ChannelClient> weak = weak_from_this();
@@ -216,16 +216,16 @@
                 "channel to {} closed with {} calls open: {}", peer_.instance, calls_.size(),
                 reason);
     connection_.reset();
-    ungreeted_ = !greeted_;
-    if (greeted_) {
+    closedBeforeHello_ = !helloReceived_;
+    if (helloReceived_) {
         const auto now = std::chrono::steady_clock::now();
         for (const auto &entry : calls_) {
             entry.second->detachedSince = now;
         }
     }
-    greeted_ = false;
-    if (ungreeted_) {
-        failStranded(peer_.instance.text() + " does not answer: " + reason);
+    helloReceived_ = false;
+    if (closedBeforeHello_) {
+        failUnresumableCalls(peer_.instance.text() + " does not answer: " + reason);
     }
     ensureConnected();
 }
@@ -240,7 +240,7 @@
 void ChannelClient::receive(Frame frame)
 {
     if (std::holds_alternative<Hello>(frame)) {
-        greeted_ = true;
+        helloReceived_ = true;
         sendAllCalls();
     } else if (auto *item = std::get_if<CallItem>(&frame)) {
         receiveItem(std::move(*item));
@@ -255,7 +255,7 @@
     }
     auto &call = *found->second;
     if (item.number < call.nextItem) {
-        // Sent again after a resumption although it had arrived.
+        // Sent again after a resume although it had already arrived.
         return;
     }
     if (item.number > call.nextItem) {
@@ -282,7 +282,7 @@
     calls_.erase(id);
 }
 
-void ChannelClient::failStranded(const std::string &reason)
+void ChannelClient::failUnresumableCalls(const std::string &reason)
 {
     const auto now = std::chrono::steady_clock::now();
     const auto calls = calls_;
--- a/Source/Core/Peers/ChannelClient.h
+++ b/Source/Core/Peers/ChannelClient.h
@@ -15,7 +15,7 @@
 
 namespace LaburnumChute::Peers {
 
-/// Where a peer is reached, and which life of it is meant.
+/// A peer and the address of its channel server.
 struct PeerAddress
 {
     Common::InstanceId instance;
@@ -25,7 +25,8 @@
 
 class ChannelClient;
 
-/// The calling end of a call. Belongs to one coroutine on the executor given at its opening.
+/// The client side of a call. Used by one coroutine on the executor passed to
+/// ChannelClient::open().
 class OutgoingCall
 {
 public:
@@ -33,15 +34,15 @@
     OutgoingCall(const OutgoingCall &) = delete;
     OutgoingCall &operator=(const OutgoingCall &) = delete;
 
-    /// The next part of the answer; after AnswerEnd or AnswerFailure nothing more comes. At the
-    /// deadline: nothing.
+    /// Returns the next part of the answer, or nullopt at the deadline. AnswerEnd or AnswerFailure
+    /// is the last part.
     asio::awaitable<std::optional<AnswerItem>> next(Common::Time deadline = Common::Time::max());
     void cancel();
 
 private:
     friend class ChannelClient;
 
-    struct Numbered
+    struct NumberedItem
     {
         std::uint64_t number = 0;
         AnswerItem item;
@@ -52,22 +53,22 @@
 
     std::shared_ptr<ChannelClient> client_;
     CallId id_;
-    Async::AsyncQueue<Numbered> items_;
+    Async::AsyncQueue<NumberedItem> items_;
     bool ended_ = false;
 };
 
-/// Calls to one peer over one connection, made anew when it breaks. A call outlives its connection
-/// for the resume window: what was not yet received is asked for again, by number, so that no part
-/// of an answer is lost or given twice.
+/// Multiplexes calls to one peer over one connection and reconnects when it breaks. A call survives
+/// its connection for the resume window: parts not yet received are requested again by number, so
+/// that no part of an answer is lost or delivered twice.
 class ChannelClient : public std::enable_shared_from_this<ChannelClient>
 {
 public:
-    /// All state lives on the context's one thread; open() may be called from any.
+    /// All state is accessed on the context's single thread; open() may be called from any thread.
     ChannelClient(asio::io_context &context, ChannelOptions options, Hello self, PeerAddress peer);
 
-    /// Starts a call whose answer is read on the executor.
+    /// Starts a call whose answer is consumed on the executor.
     std::unique_ptr<OutgoingCall> open(CallRequest request, const asio::any_io_executor &executor);
-    /// The peer is reached elsewhere from now on.
+    /// Sets the address for subsequent connections.
     void setAddress(std::string channel);
     void stop();
 
@@ -76,15 +77,15 @@
 
     struct PendingCall
     {
-        explicit PendingCall(Async::AsyncQueue<OutgoingCall::Numbered> queue)
+        explicit PendingCall(Async::AsyncQueue<OutgoingCall::NumberedItem> queue)
             : items(std::move(queue))
         {
         }
 
-        Async::AsyncQueue<OutgoingCall::Numbered> items;
+        Async::AsyncQueue<OutgoingCall::NumberedItem> items;
         std::optional<CallRequest> request;
         std::uint64_t nextItem = 0;
-        /// True once bytes of the request may have left.
+        /// True once bytes of the request may have been sent.
         bool sent = false;
         Common::Time detachedSince;
     };
@@ -94,15 +95,16 @@
     void cancel(CallId id);
     void ensureConnected();
     asio::awaitable<void> connect();
-    void adopt(asio::ip::tcp::socket socket);
+    void startConnection(asio::ip::tcp::socket socket);
     void sendCall(CallId id, PendingCall &call);
     void receive(Frame frame);
     void receiveItem(CallItem item);
     void connectionClosed(const std::string &reason);
     void sendAllCalls();
     void fail(CallId id, PendingCall &call, const std::string &detail);
-    /// Fails the calls that nothing has been sent of, and those detached for too long.
-    void failStranded(const std::string &reason);
+    /// Fails the calls whose request has not been sent, and those without a connection for longer
+    /// than the resume window.
+    void failUnresumableCalls(const std::string &reason);
 
     asio::io_context &context_;
     ChannelOptions options_;
@@ -111,12 +113,12 @@
     std::shared_ptr<ChannelConnection> connection_;
     std::map<CallId, std::shared_ptr<PendingCall>> calls_;
     bool connecting_ = false;
-    /// The peer has greeted on this connection. Nothing else is sent before: what accepts a
-    /// connection may be a relay whose far side is gone, and a request handed to it could no more
-    /// be said not to have run.
-    bool greeted_ = false;
-    /// The last connection closed without a greeting.
-    bool ungreeted_ = false;
+    /// True once the peer's Hello has arrived on this connection. No request is sent before that:
+    /// the connection may have been accepted by a relay whose target is down, and a request sent to
+    /// it could no longer be reported as not run.
+    bool helloReceived_ = false;
+    /// True if the last connection closed before the peer sent its Hello.
+    bool closedBeforeHello_ = false;
     bool stopped_ = false;
 };
 
--- a/Source/Core/Peers/ChannelConnection.cpp
+++ b/Source/Core/Peers/ChannelConnection.cpp
@@ -13,7 +13,7 @@
     : socket_(std::move(socket))
     , options_(options)
     , writeSignal_(socket_.get_executor())
-    , watchTimer_(socket_.get_executor())
+    , keepaliveTimer_(socket_.get_executor())
     , lastReceived_(std::chrono::steady_clock::now())
 {
     boost::system::error_code ignored;
@@ -30,7 +30,7 @@
     asio::co_spawn(
         executor, [self] { return self->writeLoop(); }, asio::detached);
     asio::co_spawn(
-        executor, [self] { return self->watchLoop(); }, asio::detached);
+        executor, [self] { return self->keepaliveLoop(); }, asio::detached);
 }
 
 void ChannelConnection::send(const Frame &frame)
@@ -51,8 +51,8 @@
     boost::system::error_code ignored;
     socket_.close(ignored);
     writeSignal_.cancel();
-    watchTimer_.cancel();
-    // The handlers may hold what holds this connection.
+    keepaliveTimer_.cancel();
+    // The handlers may own the owner of this connection; releasing them breaks the cycle.
     const auto handlers = std::exchange(handlers_, {});
     if (handlers.closed) {
         handlers.closed(reason);
@@ -113,17 +113,17 @@
     }
 }
 
-asio::awaitable<void> ChannelConnection::watchLoop()
+asio::awaitable<void> ChannelConnection::keepaliveLoop()
 {
     const auto self = shared_from_this();
     auto lastTick = std::chrono::steady_clock::now();
     while (!closed_) {
         boost::system::error_code error;
-        watchTimer_.expires_after(options_.pingAfter / 2);
-        co_await watchTimer_.async_wait(asio::redirect_error(asio::use_awaitable, error));
+        keepaliveTimer_.expires_after(options_.pingAfter / 2);
+        co_await keepaliveTimer_.async_wait(asio::redirect_error(asio::use_awaitable, error));
         const auto now = std::chrono::steady_clock::now();
-        // After a pause of this process the other side's frames wait unread in the kernel; its
-        // silence cannot be judged before they have been read.
+        // After this process was paused, frames from the peer are still unread in the kernel's
+        // buffer, so the peer must not be considered silent before they have been read.
         if (now - lastTick > options_.pingAfter) {
             lastReceived_ = now;
         }
--- a/Source/Core/Peers/ChannelConnection.h
+++ b/Source/Core/Peers/ChannelConnection.h
@@ -19,28 +19,28 @@
 struct ChannelOptions
 {
     Common::milliseconds connectTimeout{1000};
-    /// After so long without a frame from the other side, it is asked for one.
+    /// A ping is sent after this time without a frame from the peer.
     Common::milliseconds pingAfter{400};
-    /// After so long without a frame the connection is given up. An open connection can go silent
-    /// for good while new ones work; a caller then sees an answer that stops half-way. Two seconds
-    /// are many round trips (110 ms between regions) and few enough for a person to wait.
+    /// The connection is closed after this time without a frame. An open connection can go silent
+    /// permanently while new ones work; a caller then sees an answer that stops half-way. Two
+    /// seconds are many round trips (110 ms between regions) and short enough for a person to wait.
     Common::milliseconds silenceTimeout{2000};
-    /// How long a call outlives its connection, waiting to be resumed on a new one.
+    /// How long a call without a connection waits to be resumed on a new one.
     Common::milliseconds resumeWindow{5000};
-    Common::milliseconds reconnectPause{100};
-    /// Bytes of an answer under way or not yet consumed by the reader.
+    Common::milliseconds reconnectDelay{100};
+    /// Flow-control window: bytes of an answer in flight or not yet consumed by the reader.
     std::size_t windowBytes = 256 * 1024;
 };
 
-/// A TCP connection that carries frames both ways and notices when the other side falls silent.
-/// Lives on one executor.
+/// A TCP connection that carries frames in both directions and detects when the peer goes silent.
+/// Used on one executor only.
 class ChannelConnection : public std::enable_shared_from_this<ChannelConnection>
 {
 public:
     struct Handlers
     {
         std::function<void(Frame)> frame;
-        /// Called once, with the reason.
+        /// Called once, with the reason for closing.
         std::function<void(const std::string &)> closed;
     };
 
@@ -61,13 +61,13 @@
 private:
     asio::awaitable<void> readLoop();
     asio::awaitable<void> writeLoop();
-    asio::awaitable<void> watchLoop();
+    asio::awaitable<void> keepaliveLoop();
 
     asio::ip::tcp::socket socket_;
     ChannelOptions options_;
     Handlers handlers_;
     asio::steady_timer writeSignal_;
-    asio::steady_timer watchTimer_;
+    asio::steady_timer keepaliveTimer_;
     std::deque<std::string> writeQueue_;
     Common::Time lastReceived_;
     std::uint64_t bytesSent_ = 0;
--- a/Source/Core/Peers/ChannelFrames.h
+++ b/Source/Core/Peers/ChannelFrames.h
@@ -11,20 +11,21 @@
 
 namespace LaburnumChute::Peers {
 
-/// Names a call among all calls of one incarnation of the calling instance.
+/// Identifies a call among all calls of one incarnation of the calling instance.
 using CallId = std::uint64_t;
 
-/// What a forwarded request that must not run twice asks of its receiver.
+/// What the receiver of a forwarded request must do so that the request does not run twice.
 enum class OnceRole : std::uint8_t {
-    /// It may be repeated.
+    /// The request may be repeated.
     None,
-    /// The receiver minted its key, or answers for the one who did.
+    /// The receiver issued the idempotency key, or acts for the instance that did.
     ToOwner,
-    /// The sender minted its key and holds it: the receiver runs it once and asks no ledger.
+    /// The sender issued the idempotency key and holds it: the receiver runs the request once
+    /// without asking a ledger.
     HeldBySender,
 };
 
-/// A caller's request on its one way to another instance.
+/// A caller's request as it is forwarded to another instance.
 struct ForwardedRequest
 {
     Common::RequestId request;
@@ -34,12 +35,12 @@
     std::string target;
     Common::Headers headers;
     std::string body;
-    /// The region of the instance that the caller spoke to.
+    /// The region of the instance that received the request from the caller.
     Common::RegionName fromRegion;
-    /// The instances that the request has been at, the first one first. An instance that finds
-    /// itself in here refuses the request: it would travel in a loop.
+    /// The instances that have handled the request, in order. An instance that finds itself in this
+    /// list rejects the request, since it would be forwarded in a loop.
     std::vector<Common::InstanceId> visited;
-    /// What is left of the time that the caller waits for the first byte, in milliseconds.
+    /// Remaining time that the caller waits for the first byte, in milliseconds.
     std::optional<std::uint32_t> deadlineMs;
     OnceRole once = OnceRole::None;
 
@@ -51,10 +52,10 @@
     }
 };
 
-/// A message between two instances themselves, answered by one whole body.
+/// A request from one instance to another on its own behalf, answered with one whole body.
 struct InternalRequest
 {
-    /// What it is about, such as "ledger-handover".
+    /// The kind of request, such as "ledger-handover".
     std::string subject;
     std::string body;
 
@@ -67,7 +68,7 @@
 
 using CallRequest = std::variant<ForwardedRequest, InternalRequest>;
 
-/// The first message each way on a connection.
+/// The first message in each direction on a connection.
 struct Hello
 {
     Common::InstanceId instance;
@@ -92,7 +93,7 @@
     }
 };
 
-/// After a new connection: send the call's items again from this number on.
+/// Sent after a reconnect: requests the call's items from this number on.
 struct ResumeCall
 {
     CallId call = 0;
@@ -116,8 +117,8 @@
     }
 };
 
-/// Items below this number have been consumed: they need not be kept, and as many bytes more may be
-/// sent.
+/// Acknowledges that items below this number have been consumed: the sender may discard them and
+/// send as many more bytes.
 struct Consumed
 {
     CallId call = 0;
@@ -130,8 +131,8 @@
     }
 };
 
-/// The parts of an answer, in this order: one head, any number of pieces, one end; or a failure at
-/// any place, which ends it.
+/// The parts of an answer, in this order: one head, any number of pieces, one end. A failure may
+/// come at any point and ends the answer.
 struct AnswerHead
 {
     std::uint32_t status = 0;
@@ -163,7 +164,7 @@
     }
 };
 
-/// The call yields no (further) answer.
+/// The call failed; no (further) part of the answer follows.
 struct AnswerFailure
 {
     std::uint32_t status = 0;
@@ -183,8 +184,8 @@
 
 using AnswerItem = std::variant<AnswerHead, AnswerPiece, AnswerEnd, AnswerFailure>;
 
-/// One part of a call's answer; numbered from 0 without gaps, so that a lost, doubled or foreign
-/// part is noticed.
+/// One part of a call's answer. Parts are numbered from 0 without gaps, so that a lost, duplicate
+/// or misrouted part is detected.
 struct CallItem
 {
     CallId call = 0;
@@ -216,14 +217,14 @@
 
 using Frame = std::variant<Hello, OpenCall, ResumeCall, CancelCall, Consumed, CallItem, Ping, Pong>;
 
-/// Bytes of the length that goes before each frame, big endian.
+/// Size of the big-endian length prefix of each frame.
 inline constexpr std::size_t FrameLengthBytes = 4;
-/// A request's body may have 4 MiB; anything much larger is not one of our frames.
+/// A request body may have 4 MiB; anything much larger is not a valid frame.
 inline constexpr std::size_t FrameLimitBytes = 8 * 1024 * 1024;
 
-/// The frame with its length before it.
+/// Serializes a frame, with its length prefix.
 std::string encodeFrame(const Frame &frame);
-/// The frame of these bytes (without the length).
+/// Parses a frame from its bytes, without the length prefix.
 Common::Result<Frame> decodeFrame(std::string_view bytes);
 std::size_t decodeFrameLength(std::string_view bytes);
 
--- a/Source/Core/Peers/ChannelServer.cpp
+++ b/Source/Core/Peers/ChannelServer.cpp
@@ -14,9 +14,9 @@
 using asio::ip::tcp;
 
 constexpr Common::milliseconds SweepInterval{500};
-constexpr Common::milliseconds AcceptPause{50};
+constexpr Common::milliseconds AcceptRetryDelay{50};
 
-std::size_t sizeOf(const AnswerItem &item)
+std::size_t payloadBytes(const AnswerItem &item)
 {
     const auto *piece = std::get_if<AnswerPiece>(&item);
     return piece != nullptr ? piece->bytes.size() : 0;
@@ -36,7 +36,7 @@
 
 asio::awaitable<bool> IncomingCall::send(AnswerItem item)
 {
-    while (!gone_ && keptBytes_ >= options_.windowBytes) {
+    while (!gone_ && bufferedBytes_ >= options_.windowBytes) {
         boost::system::error_code ignored;
         windowSignal_.expires_at(Common::Time::max());
         co_await windowSignal_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
@@ -44,13 +44,13 @@
     if (gone_) {
         co_return false;
     }
-    const auto bytes = sizeOf(item);
-    keptBytes_ += bytes;
+    const auto bytes = payloadBytes(item);
+    bufferedBytes_ += bytes;
     ended_ = std::holds_alternative<AnswerEnd>(item) || std::holds_alternative<AnswerFailure>(item);
-    kept_.push_back({nextNumber_, bytes, std::move(item)});
+    bufferedItems_.push_back({nextNumber_, bytes, std::move(item)});
     ++nextNumber_;
     if (connection_) {
-        connection_->send(CallItem{id_, kept_.back().number, kept_.back().item});
+        connection_->send(CallItem{id_, bufferedItems_.back().number, bufferedItems_.back().item});
     }
     co_return true;
 }
@@ -59,8 +59,8 @@
 {
     connection_ = std::move(connection);
     consumed(nextItem);
-    for (const auto &kept : kept_) {
-        connection_->send(CallItem{id_, kept.number, kept.item});
+    for (const auto &buffered : bufferedItems_) {
+        connection_->send(CallItem{id_, buffered.number, buffered.item});
     }
 }
 
@@ -72,9 +72,9 @@
 
 void IncomingCall::consumed(std::uint64_t nextItem)
 {
-    while (!kept_.empty() && kept_.front().number < nextItem) {
-        keptBytes_ -= kept_.front().bytes;
-        kept_.pop_front();
+    while (!bufferedItems_.empty() && bufferedItems_.front().number < nextItem) {
+        bufferedBytes_ -= bufferedItems_.front().bytes;
+        bufferedItems_.pop_front();
     }
     windowSignal_.cancel();
 }
@@ -85,7 +85,7 @@
         return;
     }
     gone_ = true;
-    kept_.clear();
+    bufferedItems_.clear();
     windowSignal_.cancel();
     if (onGone_) {
         onGone_();
@@ -107,7 +107,7 @@
     auto bound = Async::listenOn(acceptor_, address);
     if (bound) {
         asio::co_spawn(context_, accept(), asio::detached);
-        asio::co_spawn(context_, sweep(), asio::detached);
+        asio::co_spawn(context_, expireDetachedCalls(), asio::detached);
     }
     return bound;
 }
@@ -119,14 +119,14 @@
         auto socket =
             co_await acceptor_.async_accept(asio::redirect_error(asio::use_awaitable, error));
         if (error) {
-            co_await Async::sleepFor(AcceptPause);
+            co_await Async::sleepFor(AcceptRetryDelay);
             continue;
         }
-        adopt(std::move(socket));
+        startConnection(std::move(socket));
     }
 }
 
-void ChannelServer::adopt(tcp::socket socket)
+void ChannelServer::startConnection(tcp::socket socket)
 {
     const auto peer = std::make_shared<Peer>();
     peer->connection = std::make_shared<ChannelConnection>(std::move(socket), options_);
@@ -146,10 +146,10 @@
 {
     if (const auto *hello = std::get_if<Hello>(&frame)) {
         peer.hello = *hello;
-        peer.greeted = true;
+        peer.helloReceived = true;
         return;
     }
-    if (!peer.greeted) {
+    if (!peer.helloReceived) {
         peer.connection->close("the peer did not say who it is");
         return;
     }
@@ -197,7 +197,8 @@
         found->second->attach(peer.connection, resume.nextItem);
         return;
     }
-    // The call may have run here and been forgotten, or this may be another life of the instance.
+    // The call may have run here and been removed, or this may be a later incarnation of the
+    // instance.
     AnswerFailure failure;
     failure.status = 503;
     failure.code = Common::ErrorCode::Unavailable;
@@ -209,9 +210,9 @@
 asio::awaitable<void> ChannelServer::run(CallKey key, std::shared_ptr<IncomingCall> call)
 {
     co_await handler_(call);
-    // The end may still have to be sent again.
-    const auto giveUp = std::chrono::steady_clock::now() + options_.resumeWindow;
-    while (!call->gone() && !call->finished() && std::chrono::steady_clock::now() < giveUp) {
+    // The last parts may still have to be sent again after a reconnect.
+    const auto deadline = std::chrono::steady_clock::now() + options_.resumeWindow;
+    while (!call->gone() && !call->finished() && std::chrono::steady_clock::now() < deadline) {
         co_await Async::sleepFor(SweepInterval);
     }
     calls_.erase(key);
@@ -228,7 +229,7 @@
     }
 }
 
-asio::awaitable<void> ChannelServer::sweep()
+asio::awaitable<void> ChannelServer::expireDetachedCalls()
 {
     while (true) {
         co_await Async::sleepFor(SweepInterval);
--- a/Source/Core/Peers/ChannelServer.h
+++ b/Source/Core/Peers/ChannelServer.h
@@ -17,8 +17,8 @@
 
 namespace LaburnumChute::Peers {
 
-/// The called end of a call. Lives on the server's context; keeps the parts of the answer that the
-/// caller has not consumed, for a resumption.
+/// The server side of a call. Used on the server's context. Buffers the parts of the answer that
+/// the caller has not consumed, so that the call can be resumed.
 class IncomingCall
 {
 public:
@@ -34,7 +34,8 @@
         return caller_;
     }
 
-    /// Called once, when the caller has cancelled the call or has been away for too long.
+    /// Called once, when the caller cancels the call or has no connection for longer than the
+    /// resume window.
     void onGone(std::function<void()> callback)
     {
         onGone_ = std::move(callback);
@@ -44,13 +45,13 @@
         return gone_;
     }
 
-    /// Sends a part, waiting while the window is full. False when the caller is gone.
+    /// Sends a part, waiting while the window is full. Returns false if the caller is gone.
     asio::awaitable<bool> send(AnswerItem item);
 
 private:
     friend class ChannelServer;
 
-    struct Kept
+    struct BufferedItem
     {
         std::uint64_t number = 0;
         std::size_t bytes = 0;
@@ -63,7 +64,7 @@
     void markGone();
     bool finished() const
     {
-        return ended_ && kept_.empty();
+        return ended_ && bufferedItems_.empty();
     }
 
     ChannelOptions options_;
@@ -73,16 +74,16 @@
     std::shared_ptr<ChannelConnection> connection_;
     std::function<void()> onGone_;
     asio::steady_timer windowSignal_;
-    std::deque<Kept> kept_;
-    std::size_t keptBytes_ = 0;
+    std::deque<BufferedItem> bufferedItems_;
+    std::size_t bufferedBytes_ = 0;
     std::uint64_t nextNumber_ = 0;
     Common::Time detachedSince_;
     bool ended_ = false;
     bool gone_ = false;
 };
 
-/// Accepts the connections of peers and hands each call to a handler coroutine. All state lives on
-/// the context's one thread.
+/// Accepts connections from peers and passes each call to a handler coroutine. All state is
+/// accessed on the context's single thread.
 class ChannelServer
 {
 public:
@@ -90,7 +91,7 @@
 
     ChannelServer(asio::io_context &context, ChannelOptions options, Hello self, Handler handler);
 
-    /// Binds "ip:port" (port 0: any) and accepts. Returns the address bound.
+    /// Binds "ip:port" (port 0: any free port) and accepts connections. Returns the bound address.
     Common::Result<std::string> listen(const std::string &address);
 
     std::int64_t calls() const
@@ -99,7 +100,7 @@
     }
 
 private:
-    /// The caller's life and its number for the call.
+    /// Identifies a call by the caller's incarnation and its call ID.
     struct CallKey
     {
         Common::InstanceId instance;
@@ -112,17 +113,17 @@
     {
         std::shared_ptr<ChannelConnection> connection;
         Hello hello;
-        bool greeted = false;
+        bool helloReceived = false;
     };
 
     asio::awaitable<void> accept();
-    void adopt(asio::ip::tcp::socket socket);
+    void startConnection(asio::ip::tcp::socket socket);
     void receive(Peer &peer, Frame frame);
     void openCall(const Peer &peer, OpenCall open);
     void resumeCall(const Peer &peer, const ResumeCall &resume);
     asio::awaitable<void> run(CallKey key, std::shared_ptr<IncomingCall> call);
     void connectionClosed(const Peer &peer);
-    asio::awaitable<void> sweep();
+    asio::awaitable<void> expireDetachedCalls();
     CallKey keyOf(const Peer &peer, CallId call) const;
 
     asio::io_context &context_;
--- a/Source/Core/Peers/FrameArchive.h
+++ b/Source/Core/Peers/FrameArchive.h
@@ -10,18 +10,18 @@
 
 namespace LaburnumChute::Peers {
 
-/// Reads what cereal's portable binary archive wrote, from bytes that are all there. A stated
-/// length is compared with the bytes left before anything is allocated. cereal's own archive trusts
-/// it: a damaged frame of a few bytes asks for gigabytes, and the process is killed for its memory,
-/// which an operator sees as an instance that dies without a word in its log.
+/// Reads the output of cereal's portable binary archive from a complete buffer. A length field is
+/// checked against the remaining bytes before anything is allocated. cereal's own archive trusts
+/// it: a corrupt frame of a few bytes can request gigabytes, and the process is killed for running
+/// out of memory, which an operator sees as an instance that exits without a log message.
 class FrameInputArchive : public cereal::InputArchive<FrameInputArchive>
 {
 public:
-    /// Throws cereal::Exception, as all reading does, unless the bytes are in the order of this
-    /// machine.
+    /// Throws cereal::Exception, as all reads do on error, if the byte order of the frame is not
+    /// that of this machine.
     explicit FrameInputArchive(std::string_view bytes)
         : cereal::InputArchive<FrameInputArchive>(this)
-        , rest_(bytes)
+        , remaining_(bytes)
     {
         unsigned char littleEndian = 0;
         read(&littleEndian, sizeof(littleEndian));
@@ -32,28 +32,29 @@
 
     void read(void *target, std::size_t size)
     {
-        if (size > rest_.size()) {
+        if (size > remaining_.size()) {
             throw cereal::Exception("a frame that is cut short");
         }
-        std::memcpy(target, rest_.data(), size);
-        rest_.remove_prefix(size);
+        std::memcpy(target, remaining_.data(), size);
+        remaining_.remove_prefix(size);
     }
 
-    /// Each element of a text or list takes at least a byte.
+    /// Checks an element count against the remaining bytes: each element of a string or list takes
+    /// at least one byte.
     void checkCount(std::size_t count) const
     {
-        if (count > rest_.size()) {
+        if (count > remaining_.size()) {
             throw cereal::Exception("a length that the frame cannot hold");
         }
     }
 
 private:
-    std::string_view rest_;
+    std::string_view remaining_;
 };
 
 } // namespace LaburnumChute::Peers
 
-/// The archive that writes what this one reads; cereal asks for it.
+/// The matching output archive, as cereal requires.
 template <>
 struct cereal::traits::detail::get_output_from_input<LaburnumChute::Peers::FrameInputArchive>
 {
@@ -62,7 +63,7 @@
 
 namespace LaburnumChute::Peers {
 
-// The functions by which cereal loads; their names are cereal's.
+// Load functions that cereal looks up; their names are defined by cereal.
 // NOLINTBEGIN(readability-identifier-naming)
 
 template <typename T>
@@ -70,7 +71,7 @@
                                                                     T &value)
 {
     if constexpr (std::is_same_v<T, bool>) {
-        // A byte other than 0 and 1 is no bool, and to use it as one is undefined.
+        // Using a byte other than 0 or 1 as a bool is undefined behavior.
         unsigned char byte = 0;
         archive.read(&byte, sizeof(byte));
         value = byte != 0;
--- a/Source/Core/Peers/GossipSocket.cpp
+++ b/Source/Core/Peers/GossipSocket.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-/// Holds what a process that was paused for a second or two finds waiting for it.
+/// Holds the datagrams that arrive while the process is paused for one or two seconds.
 constexpr int ReceiveBufferBytes = 1 << 20;
 
 Cluster::Address toAddress(const asio::ip::udp::endpoint &endpoint)
@@ -69,7 +69,7 @@
             Common::ErrorCode::Unavailable,
             fmt::format("cannot bind UDP {}: {}", toAddress(local), error.message()));
     }
-    // A smaller buffer only loses more datagrams.
+    // Ignored: a smaller buffer only drops more datagrams.
     boost::system::error_code ignored;
     socket_.set_option(asio::socket_base::receive_buffer_size(ReceiveBufferBytes), ignored);
     return {};
@@ -86,7 +86,8 @@
         if (error == asio::error::operation_aborted || !socket_.is_open()) {
             co_return;
         }
-        // A refused port at a peer comes back as an error of this socket; the next receive works.
+        // A peer's "port unreachable" reply is reported as an error of this socket; the next
+        // receive works.
         if (!error) {
             handleDatagram(std::string_view(buffer.data(), size), sender);
         }
--- a/Source/Core/Peers/GossipSocket.h
+++ b/Source/Core/Peers/GossipSocket.h
@@ -14,10 +14,10 @@
 
 namespace LaburnumChute::Peers {
 
-/// Turns "ip:port" into an endpoint; names are not looked up.
+/// Parses "ip:port" as a UDP endpoint; host names are not resolved.
 Common::Result<boost::asio::ip::udp::endpoint> parseUdpAddress(const Cluster::Address &address);
 
-/// Carries gossip over UDP. To be used from one strand; the handler runs on it.
+/// Sends and receives gossip over UDP. Must be used from one strand; the handler runs on it.
 class GossipSocket
 {
 public:
@@ -26,14 +26,14 @@
 
     GossipSocket(const boost::asio::any_io_executor &executor, Handler handler);
 
-    /// Binds; port 0 takes a free one.
+    /// Binds the socket; port 0 selects a free port.
     Common::Result<void> open(const boost::asio::ip::udp::endpoint &local);
-    /// Receives until close(). Datagrams that are not gossip are counted and dropped.
+    /// Receives until close(). Datagrams that are not gossip messages are counted and dropped.
     boost::asio::awaitable<void> run();
     void close();
 
-    /// Sends without waiting. A datagram that the system does not take at once is dropped: gossip
-    /// repeats itself, and a queue would deliver old claims late.
+    /// Sends without blocking. A datagram that the system does not accept immediately is dropped:
+    /// gossip is repeated, and a queue would deliver outdated state late.
     void send(const Cluster::SendGossip &effect);
 
     boost::asio::ip::udp::endpoint localEndpoint() const;
--- a/Source/Core/Peers/Peers.h
+++ b/Source/Core/Peers/Peers.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Public header of the library Peers: what instances say to each other. Gossip goes by UDP,
-// requests and whole bodies by a multiplexed TCP channel.
+// Public header of the library Peers: communication between instances. Gossip uses UDP; requests
+// and whole bodies use a multiplexed TCP channel.
 
 #include "Peers/ChannelClient.h"
 #include "Peers/ChannelFrames.h"
--- a/Source/Core/Peers/ValueCodec.h
+++ b/Source/Core/Peers/ValueCodec.h
@@ -15,7 +15,7 @@
 
 namespace LaburnumChute::Peers {
 
-/// The bytes of a message between instances.
+/// Serializes a message between instances.
 template <typename Value>
 std::string encodeValue(const Value &value)
 {
@@ -27,7 +27,7 @@
     return std::move(stream).str();
 }
 
-/// Fails with ProtocolViolation on bytes that are no such message.
+/// Fails with ProtocolViolation if the bytes are not such a message.
 template <typename Value>
 Common::Result<Value> decodeValue(std::string_view bytes)
 {
