--- a/Source/UnitTests/Peers/ChannelTest.cpp
+++ b/Source/UnitTests/Peers/ChannelTest.cpp
@@ -19,9 +19,9 @@
 
 using asio::ip::tcp;
 
-constexpr Common::seconds TestPatience{30};
+constexpr Common::seconds TestTimeout{30};
 
-/// Passes bytes between two sockets and can forget a connection without closing it.
+/// Forwards bytes between two sockets and can stop forwarding on a connection without closing it.
 class Relay
 {
 public:
@@ -38,8 +38,8 @@
         return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port());
     }
 
-    /// Connections open now pass no byte any more; new ones work.
-    void forgetConnections()
+    /// Discards all further traffic on the connections open now; new ones work.
+    void dropTrafficOnOpenConnections()
     {
         ++epoch_;
     }
@@ -125,7 +125,7 @@
             context_.stop();
         };
         asio::co_spawn(context_, wrapped, asio::detached);
-        context_.run_for(TestPatience);
+        context_.run_for(TestTimeout);
         ASSERT_TRUE(done);
     }
 
@@ -192,9 +192,9 @@
     });
 }
 
-// Something between two regions forgets an open connection: no byte passes on it any more, and
-// neither end is told, while new connections work. A caller would see its answer stop half-way. The
-// channel notices the silence, connects anew and continues the answer where it stopped.
+// A device between two regions silently drops all traffic of an open connection while new
+// connections work, so a caller would see its answer stop half-way. The channel must detect the
+// silence, reconnect and resume the answer where it stopped.
 TEST_F(ChannelTest, AnswerGoesOnOverANewConnectionWhenTheOldOneFallsSilent)
 {
     Relay relay(context_, serve(&answerInPieces));
@@ -208,7 +208,7 @@
             if (const auto *piece = std::get_if<AnswerPiece>(&*item)) {
                 text += piece->bytes;
                 if (++pieces == 5) {
-                    relay.forgetConnections();
+                    relay.dropTrafficOnOpenConnections();
                 }
             } else if (!std::holds_alternative<AnswerHead>(*item)) {
                 EXPECT_TRUE(std::holds_alternative<AnswerEnd>(*item));
@@ -220,8 +220,8 @@
     });
 }
 
-// The other instance is not there. Nothing has been sent, so the request can be said not to have
-// run, and the caller may be served elsewhere at once.
+// The peer cannot be reached. Nothing has been sent, so the request is reported as not run and can
+// be served elsewhere immediately.
 TEST_F(ChannelTest, CallThatCouldNotBeSentIsNotRun)
 {
     options_.connectTimeout = Common::milliseconds(200);
@@ -233,9 +233,9 @@
     });
 }
 
-// A relay between two regions accepts connections for an instance that is gone. A request handed to
-// it might have run as far as anyone knows, and its caller could only be told "unknown".
-TEST_F(ChannelTest, CallToAnInstanceBehindARelayThatIsGoneIsNotRun)
+// A relay between two regions accepts connections for an instance that is down. If a request were
+// sent to it, its run state could only be reported as unknown.
+TEST_F(ChannelTest, CallThroughARelayToAStoppedInstanceIsNotRun)
 {
     tcp::acceptor relay(context_, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
     auto acceptAndClose = [&]() -> asio::awaitable<void> {
@@ -252,14 +252,14 @@
     });
 }
 
-TEST_F(ChannelTest, CancelReachesTheOtherEnd)
+TEST_F(ChannelTest, CancelReachesTheServer)
 {
-    bool told = false;
+    bool cancelled = false;
     const auto client =
         clientOf(serve([&](std::shared_ptr<IncomingCall> call) -> asio::awaitable<void> {
-            call->onGone([&] { told = true; });
+            call->onGone([&] { cancelled = true; });
             co_await call->send(AnswerHead());
-            while (!told) {
+            while (!cancelled) {
                 co_await Async::sleepFor(Common::milliseconds(1));
             }
         }));
@@ -267,13 +267,13 @@
         const auto call = client->open(request("a"), context_.get_executor());
         co_await call->next();
         call->cancel();
-        while (!told) {
+        while (!cancelled) {
             co_await Async::sleepFor(Common::milliseconds(1));
         }
     });
 }
 
-// A reader that has stopped reading. The sender must not go on producing for it without bound.
+// The reader has stopped reading. The sender must not buffer an unbounded amount for it.
 TEST_F(ChannelTest, SenderWaitsWhileTheReaderDoesNotRead)
 {
     int sent = 0;
--- a/Source/UnitTests/Peers/FrameArchiveTest.cpp
+++ b/Source/UnitTests/Peers/FrameArchiveTest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// The mark of the byte order, then a text that claims the given length and has the given bytes.
+/// The byte order mark, then a string with the given length field and the given bytes.
 std::string textFrame(std::uint64_t length, const std::string &bytes)
 {
     std::string frame(1, '\x01');
@@ -26,24 +26,24 @@
     return text;
 }
 
-TEST(FrameArchiveTest, ReadsWhatIsThere)
+TEST(FrameArchiveTest, ReadsCompleteFramesAndRejectsOthers)
 {
     EXPECT_EQ(readText(textFrame(3, "abc")), "abc");
     EXPECT_THROW(readText(""), cereal::Exception);
     EXPECT_THROW(readText(std::string(1, '\0') + "abc"), cereal::Exception);
 }
 
-TEST(FrameArchiveTest, LengthPastTheEndIsRefusedBeforeMemoryIsAsked)
+TEST(FrameArchiveTest, LengthPastTheEndIsRejectedBeforeAllocation)
 {
-    // A frame is damaged on its way, or a process that is no instance talks to the channel's port.
-    // Of its nine bytes eight are a length. The instance that trusts it asks for that much memory
-    // and is killed, with the requests of all its callers.
+    // A corrupt frame, or data from a process that is not an instance, can contain any length field
+    // in eight of its first nine bytes. An instance that allocates that much memory is killed, and
+    // the requests of all its callers are lost.
     constexpr std::uint64_t Petabyte = 1ULL << 50;
     EXPECT_THROW(readText(textFrame(Petabyte, "abc")), cereal::Exception);
     EXPECT_THROW(readText(textFrame(4, "abc")), cereal::Exception);
 }
 
-TEST(FrameArchiveTest, ByteThatIsNoBoolReadsAsTrue)
+TEST(FrameArchiveTest, ByteOtherThanZeroOrOneReadsAsTrue)
 {
     FrameInputArchive archive(std::string_view("\x01\x72", 2));
     bool value = false;
--- a/Source/UnitTests/Peers/GossipSocketTest.cpp
+++ b/Source/UnitTests/Peers/GossipSocketTest.cpp
@@ -12,7 +12,7 @@
 
 const asio::ip::udp::endpoint AnyPort(asio::ip::address_v4::loopback(), 0);
 
-TEST(GossipSocketTest, MessageReachesThePeerAndForeignDatagramsAreDropped)
+TEST(GossipSocketTest, MessageReachesThePeerAndInvalidDatagramsAreDropped)
 {
     asio::io_context context;
     std::vector<Common::InstanceId> senders;
@@ -27,8 +27,8 @@
     ASSERT_TRUE(sender.open(AnyPort));
     asio::co_spawn(context, receiver.run(), asio::detached);
 
-    asio::ip::udp::socket stranger(context, AnyPort);
-    stranger.send_to(asio::buffer("hello", 5), receiver.localEndpoint());
+    asio::ip::udp::socket otherSocket(context, AnyPort);
+    otherSocket.send_to(asio::buffer("hello", 5), receiver.localEndpoint());
     Cluster::GossipMessage message;
     message.sender = Common::InstanceId("north-1");
     const auto port = std::to_string(receiver.localEndpoint().port());
@@ -39,7 +39,7 @@
     EXPECT_EQ(receiver.droppedReceived(), 1u);
 }
 
-TEST(GossipSocketTest, AddressesAreNumbersOnly)
+TEST(GossipSocketTest, OnlyNumericAddressesAreParsed)
 {
     EXPECT_TRUE(Peers::parseUdpAddress(Cluster::Address("10.0.0.1:7000")));
     EXPECT_FALSE(Peers::parseUdpAddress(Cluster::Address("example:7000")));
