--- a/Source/Core/Gateway/AsyncLedger.h
+++ b/Source/Core/Gateway/AsyncLedger.h
@@ -32,7 +32,8 @@
     asio::awaitable<Ledger::BeginOutcome> begin(const Ledger::Submission &submission);
     asio::awaitable<Common::Result<Ledger::Attempt>> dispatched(const Ledger::Reservation &attempt);
     asio::awaitable<Common::Result<void>> notStarted(const Ledger::Attempt &dispatch);
-    asio::awaitable<Common::Result<void>> abandonedBeforeDispatch(const Ledger::Reservation &attempt);
+    asio::awaitable<Common::Result<void>>
+    abandonedBeforeDispatch(const Ledger::Reservation &attempt);
     asio::awaitable<Common::Result<void>> finished(const Ledger::Attempt &dispatch,
                                                    const Ledger::KeptAnswer &answer);
     asio::awaitable<Common::Result<void>> lost(const Ledger::Attempt &dispatch);
--- a/Source/Core/Gateway/CallRunnerForward.cpp
+++ b/Source/Core/Gateway/CallRunnerForward.cpp
@@ -214,8 +214,9 @@
     const auto *owner = table->peer(owned.owner);
     const bool ended = owner == nullptr || owner->dead || owner->incarnation > owned.incarnation;
     const auto *keyHolder = ended ? successorOf(owned, *table) : owner;
-    auto problem = co_await forwardToKeyHolder(
-        keyHolder, ended ? L::RejectionReason::IncarnationGone : L::RejectionReason::OwnerUnreachable);
+    auto problem =
+        co_await forwardToKeyHolder(keyHolder, ended ? L::RejectionReason::IncarnationGone
+                                                     : L::RejectionReason::OwnerUnreachable);
     if (problem && forwardNotSent_ && !ended) {
         problem = co_await forwardToKeyHolder(successorOf(owned, *table),
                                               L::RejectionReason::OwnerUnreachable);
