--- a/Source/Core/Gateway/AsyncLedger.cpp
+++ b/Source/Core/Gateway/AsyncLedger.cpp
@@ -29,39 +29,40 @@
     });
 }
 
-asio::awaitable<Common::Result<L::Attempt>> AsyncLedger::dispatched(const L::Reservation &attempt)
+asio::awaitable<Common::Result<L::Attempt>>
+AsyncLedger::dispatched(const L::Reservation &reservation)
 {
-    return run(
-        [attempt](L::Ledger &ledger, Common::Time now) { return ledger.dispatched(attempt, now); });
+    return run([reservation](L::Ledger &ledger, Common::Time now) {
+        return ledger.dispatched(reservation, now);
+    });
 }
 
-asio::awaitable<Common::Result<void>> AsyncLedger::notStarted(const L::Attempt &dispatch)
+asio::awaitable<Common::Result<void>> AsyncLedger::notStarted(const L::Attempt &attempt)
 {
-    return run([dispatch](L::Ledger &ledger, Common::Time now) {
-        return ledger.notStarted(dispatch, now);
-    });
+    return run(
+        [attempt](L::Ledger &ledger, Common::Time now) { return ledger.notStarted(attempt, now); });
 }
 
 asio::awaitable<Common::Result<void>>
-AsyncLedger::abandonedBeforeDispatch(const L::Reservation &attempt)
+AsyncLedger::abandonedBeforeDispatch(const L::Reservation &reservation)
 {
-    return run([attempt](L::Ledger &ledger, Common::Time now) {
-        return ledger.abandonedBeforeDispatch(attempt, now);
+    return run([reservation](L::Ledger &ledger, Common::Time now) {
+        return ledger.abandonedBeforeDispatch(reservation, now);
     });
 }
 
-asio::awaitable<Common::Result<void>> AsyncLedger::finished(const L::Attempt &dispatch,
+asio::awaitable<Common::Result<void>> AsyncLedger::finished(const L::Attempt &attempt,
                                                             const L::KeptAnswer &answer)
 {
-    return run([dispatch, answer](L::Ledger &ledger, Common::Time now) {
-        return ledger.finished(dispatch, answer, now);
+    return run([attempt, answer](L::Ledger &ledger, Common::Time now) {
+        return ledger.finished(attempt, answer, now);
     });
 }
 
-asio::awaitable<Common::Result<void>> AsyncLedger::lost(const L::Attempt &dispatch)
+asio::awaitable<Common::Result<void>> AsyncLedger::lost(const L::Attempt &attempt)
 {
     return run(
-        [dispatch](L::Ledger &ledger, Common::Time now) { return ledger.lost(dispatch, now); });
+        [attempt](L::Ledger &ledger, Common::Time now) { return ledger.lost(attempt, now); });
 }
 
 asio::awaitable<L::KeyState> AsyncLedger::state(const L::IdempotencyKey &key)
--- a/Source/Core/Gateway/AsyncLedger.h
+++ b/Source/Core/Gateway/AsyncLedger.h
@@ -30,13 +30,14 @@
 
     asio::awaitable<MintedKey> mint(const Common::CustomerName &customer);
     asio::awaitable<Ledger::BeginOutcome> begin(const Ledger::Submission &submission);
-    asio::awaitable<Common::Result<Ledger::Attempt>> dispatched(const Ledger::Reservation &attempt);
-    asio::awaitable<Common::Result<void>> notStarted(const Ledger::Attempt &dispatch);
+    asio::awaitable<Common::Result<Ledger::Attempt>>
+    dispatched(const Ledger::Reservation &reservation);
+    asio::awaitable<Common::Result<void>> notStarted(const Ledger::Attempt &attempt);
     asio::awaitable<Common::Result<void>>
-    abandonedBeforeDispatch(const Ledger::Reservation &attempt);
-    asio::awaitable<Common::Result<void>> finished(const Ledger::Attempt &dispatch,
+    abandonedBeforeDispatch(const Ledger::Reservation &reservation);
+    asio::awaitable<Common::Result<void>> finished(const Ledger::Attempt &attempt,
                                                    const Ledger::KeptAnswer &answer);
-    asio::awaitable<Common::Result<void>> lost(const Ledger::Attempt &dispatch);
+    asio::awaitable<Common::Result<void>> lost(const Ledger::Attempt &attempt);
     asio::awaitable<Ledger::KeyState> state(const Ledger::IdempotencyKey &key);
     asio::awaitable<Common::Result<void>> adopt(const Ledger::Handover &handover);
     asio::awaitable<Common::Result<void>> learn(const std::vector<Ledger::DuplicateHint> &hints);
--- a/Source/Core/Gateway/CallRunner.cpp
+++ b/Source/Core/Gateway/CallRunner.cpp
@@ -103,9 +103,9 @@
 /// would find the key still held by its first attempt and be answered "unknown".
 asio::awaitable<void> CallRunner::releaseKey()
 {
-    if (ledgerAttempt_ && !ledgerDispatch_) {
-        co_await context_.ledger.abandonedBeforeDispatch(*ledgerAttempt_);
-        ledgerAttempt_.reset();
+    if (ledgerReservation_ && !ledgerAttempt_) {
+        co_await context_.ledger.abandonedBeforeDispatch(*ledgerReservation_);
+        ledgerReservation_.reset();
     }
 }
 
@@ -152,7 +152,7 @@
     submission.deadline = plan_.deadline;
     const auto outcome = co_await context_.ledger.begin(submission);
     if (const auto *proceed = std::get_if<L::Proceed>(&outcome)) {
-        ledgerAttempt_ = proceed->reservation;
+        ledgerReservation_ = proceed->reservation;
         co_return true;
     }
     if (const auto *replay = std::get_if<L::ReplayAnswer>(&outcome)) {
@@ -229,13 +229,13 @@
 asio::awaitable<bool> CallRunner::permitDispatch(const Common::EndpointId &endpoint)
 {
     Common::Result<void> permitted;
-    if (ledgerAttempt_) {
-        const auto dispatch = co_await context_.ledger.dispatched(*ledgerAttempt_);
-        if (dispatch) {
-            ledgerDispatch_ = *dispatch;
+    if (ledgerReservation_) {
+        const auto attempt = co_await context_.ledger.dispatched(*ledgerReservation_);
+        if (attempt) {
+            ledgerAttempt_ = *attempt;
         } else {
-            ledgerAttempt_.reset();
-            permitted = tl::unexpected(dispatch.error());
+            ledgerReservation_.reset();
+            permitted = tl::unexpected(attempt.error());
         }
     } else if (keyHeldBySender() && std::chrono::steady_clock::now() > plan_.deadline) {
         // This process was paused while the request waited; the sender has already told the caller
@@ -255,14 +255,14 @@
 asio::awaitable<void> CallRunner::recordFailure(bool notRun)
 {
     atMostOnceDispatched_ = atMostOnceDispatched_ && !notRun;
-    if (!ledgerDispatch_) {
+    if (!ledgerAttempt_) {
         co_return;
     }
-    auto recording = notRun ? context_.ledger.notStarted(*ledgerDispatch_)
-                            : context_.ledger.lost(*ledgerDispatch_);
+    auto recording = notRun ? context_.ledger.notStarted(*ledgerAttempt_)
+                            : context_.ledger.lost(*ledgerAttempt_);
     co_await std::move(recording);
     if (notRun) {
-        ledgerDispatch_.reset();
+        ledgerAttempt_.reset();
     }
 }
 
@@ -357,7 +357,7 @@
 
 asio::awaitable<Common::Result<void>> CallRunner::relayPiece(std::string bytes)
 {
-    if (ledgerDispatch_) {
+    if (ledgerAttempt_) {
         recordedAnswer_.body += bytes;
     }
     if (wholeAnswer_) {
@@ -392,12 +392,12 @@
 {
     context_.metrics.resumptions.add(static_cast<std::uint64_t>(stream_->resumptions()));
     registration_->finished(endpoint, D::Outcome::Completed);
-    if (ledgerDispatch_) {
+    if (ledgerAttempt_) {
         if (wholeAnswer_) {
             recordedAnswer_.contentType = "application/json";
             recordedAnswer_.body = wholeAnswer_->body();
         }
-        co_await context_.ledger.finished(*ledgerDispatch_, recordedAnswer_);
+        co_await context_.ledger.finished(*ledgerAttempt_, recordedAnswer_);
     }
     const bool delivered = co_await relayEnd();
     (delivered ? context_.metrics.completed : context_.metrics.cancelled).add();
--- a/Source/Core/Gateway/CallRunner.h
+++ b/Source/Core/Gateway/CallRunner.h
@@ -127,8 +127,8 @@
     std::unique_ptr<Dispatcher::Registration> registration_;
     std::unique_ptr<Endpoints::EndpointStream> stream_;
     std::unique_ptr<Peers::OutgoingCall> outgoingCall_;
-    std::optional<Ledger::Reservation> ledgerAttempt_;
-    std::optional<Ledger::Attempt> ledgerDispatch_;
+    std::optional<Ledger::Reservation> ledgerReservation_;
+    std::optional<Ledger::Attempt> ledgerAttempt_;
     std::optional<Entry::WholeAnswer> wholeAnswer_;
     std::optional<Entry::StreamContinuation> continuation_;
     Ledger::KeptAnswer recordedAnswer_;
--- a/Source/Core/Gateway/CallRunnerForward.cpp
+++ b/Source/Core/Gateway/CallRunnerForward.cpp
@@ -94,7 +94,7 @@
             }
             co_await responder_.sendHead(head->status, std::move(head->headers));
         } else if (auto *piece = std::get_if<Peers::AnswerPiece>(&*item)) {
-            if (ledgerDispatch_) {
+            if (ledgerAttempt_) {
                 recordedAnswer_.body += piece->bytes;
             }
             if (wholeStatus) {
@@ -132,8 +132,8 @@
     auto failure = co_await relayFromPeer(*peer, onceRole);
     if (failure) {
         co_await recordFailure(failure->run == Common::RunState::NotRun);
-    } else if (ledgerDispatch_) {
-        co_await context_.ledger.finished(*ledgerDispatch_, recordedAnswer_);
+    } else if (ledgerAttempt_) {
+        co_await context_.ledger.finished(*ledgerAttempt_, recordedAnswer_);
     }
     if (withdrawn_ && !callerDisconnected_) {
         co_return co_await sendWithdrawnProblem();
