--- a/Source/UnitTests/Ledger/AtMostOnceTest.cpp
+++ b/Source/UnitTests/Ledger/AtMostOnceTest.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
-#include "World.h"
+#include "LedgerSimulation.h"
 
 namespace LaburnumChute::Ledger {
 
--- a/Source/UnitTests/Ledger/World.cpp
+++ b/Source/UnitTests/Ledger/LedgerSimulation.cpp
@@ -1,4 +1,4 @@
-#include "World.h"
+#include "LedgerSimulation.h"
 
 #include <algorithm>
 
--- a/Source/UnitTests/Ledger/TraceTest.cpp
+++ b/Source/UnitTests/Ledger/TraceTest.cpp
@@ -4,7 +4,7 @@
 
 #include <gtest/gtest.h>
 
-#include "World.h"
+#include "LedgerSimulation.h"
 
 namespace LaburnumChute::Ledger {
 
