--- a/Source/Core/Fleet/Fleet.h
+++ b/Source/Core/Fleet/Fleet.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Public header of the library Fleet: which other instances there are and which of them can be
-// reached, learnt from seed addresses alone. A state machine without sockets.
+// Public header of the library Fleet: membership and reachability of the other instances,
+// discovered from seed addresses alone. A state machine that performs no I/O.
 
 #include "Fleet/Heartbeat.h"
 #include "Fleet/Roster.h"
--- a/Source/Core/Fleet/Heartbeat.h
+++ b/Source/Core/Fleet/Heartbeat.h
@@ -9,29 +9,30 @@
 
 namespace LaburnumChute::Fleet {
 
-/// What an instance says of itself.
+/// State that an instance announces about itself.
 struct InstanceRecord
 {
     Common::InstanceId id;
-    /// Drawn at the start of the process. Not taken from the clock: the time of day may jump.
+    /// Random number chosen at process start. Not derived from the wall clock, which may jump.
     std::uint64_t incarnation = 0;
-    /// Grows with every heartbeat of this incarnation.
+    /// Incremented with every heartbeat of this incarnation.
     std::uint32_t sequence = 0;
     Common::RegionName region;
     Common::FailureDomainName failureDomain;
-    /// "ip:port" each.
+    /// Addresses in the form "ip:port".
     std::string callerAddress;
     std::string gossipAddress;
     std::string peerAddress;
-    /// It serves callers.
+    /// The instance can serve callers.
     bool ready = false;
-    /// It is about to stop and takes no new callers.
+    /// The instance is shutting down and accepts no new callers.
     bool leaving = false;
-    /// All changes of the platform's store up to here are known to it.
+    /// The instance has applied all changes of the platform's store up to this revision.
     std::uint64_t knownRevision = 0;
-    /// Time since the store last answered it, bounded by a minute; nothing when it never has.
+    /// Time since the instance's last response from the store, at most 65535 ms; empty if there was
+    /// none.
     std::optional<std::uint16_t> storeAgeMs;
-    /// The store has answered it without a break for some seconds.
+    /// The instance's calls to the store have succeeded without interruption for some seconds.
     bool storeSettled = false;
 
     /// For cereal.
@@ -43,10 +44,10 @@
     }
 };
 
-/// Names an instance in few bytes.
+/// Compact identifier of an instance: a hash of its id.
 std::uint32_t shortId(const Common::InstanceId &id);
 
-/// When the sender last heard of another instance.
+/// Time since the sender last received evidence that another instance is alive.
 struct HeardInstance
 {
     std::uint32_t instance = 0;
@@ -65,17 +66,17 @@
 {
     InstanceRecord self;
     std::vector<HeardInstance> heard;
-    /// Instances that the receiver may not know.
-    std::vector<InstanceRecord> introductions;
-    /// What the sender tells instances of its region, or those of others, of its work; for another
-    /// part of the program to read.
+    /// Records of instances that the receiver may not know.
+    std::vector<InstanceRecord> instanceRecords;
+    /// Encoded load report of the sender, in the format for its own region or for other regions.
+    /// Not interpreted by this library.
     std::string share;
 
     /// For cereal.
     template <typename Archive>
     void serialize(Archive &archive)
     {
-        archive(self, heard, introductions, share);
+        archive(self, heard, instanceRecords, share);
     }
 };
 
--- a/Source/Core/Fleet/Roster.cpp
+++ b/Source/Core/Fleet/Roster.cpp
@@ -6,12 +6,13 @@
 
 namespace {
 
-/// Entries that one heartbeat carries; with about 130 bytes a record it stays in one datagram.
+/// Maximum entries per heartbeat. At about 130 bytes per record, a heartbeat fits into one
+/// datagram.
 constexpr std::size_t MaxHeard = 64;
-constexpr std::size_t MaxHeardElsewhere = 16;
-constexpr std::size_t MaxIntroductions = 5;
-/// A gap between two ticks of so many intervals is a pause of this process.
-constexpr int PauseIntervals = 3;
+constexpr std::size_t MaxHeardOtherRegion = 16;
+constexpr std::size_t MaxInstanceRecords = 5;
+/// A gap between two ticks of more than this many intervals means that the process was suspended.
+constexpr int SuspensionIntervals = 3;
 constexpr std::int64_t MaxAgeMs = 65535;
 
 } // namespace
@@ -61,55 +62,57 @@
 
 void Roster::setShares(std::string ownRegion, std::string otherRegions)
 {
-    ownShare_ = std::move(ownRegion);
-    otherShare_ = std::move(otherRegions);
+    ownRegionLoadReport_ = std::move(ownRegion);
+    otherRegionsLoadReport_ = std::move(otherRegions);
 }
 
 bool Roster::alive(const Entry &entry, Time now) const
 {
-    return now - entry.heard <= options_.aliveFor;
+    return now - entry.heard <= options_.aliveTimeout;
 }
 
 Heartbeat Roster::makeHeartbeat(const Common::RegionName &receiver, Time now) const
 {
     Heartbeat heartbeat;
     heartbeat.self = self_;
-    heartbeat.share = receiver == self_.region ? ownShare_ : otherShare_;
-    heartbeat.heard = heardInTurn(receiver, now);
+    heartbeat.share = receiver == self_.region ? ownRegionLoadReport_ : otherRegionsLoadReport_;
+    heartbeat.heard = nextHeardBatch(receiver, now);
     return heartbeat;
 }
 
-/// As many as fit into a heartbeat, others with every round, so that nobody is left out for longer
-/// than it counts as alive. Other regions are told of this one only, and of fewer at a time: bytes
-/// between regions are dear, and they hear several instances from here.
-std::vector<HeardInstance> Roster::heardInTurn(const Common::RegionName &receiver, Time now) const
+/// Selects as many entries as fit into a heartbeat and rotates through them by round, so that no
+/// instance is omitted for longer than the alive timeout. Other regions get fewer entries, and only
+/// those of this region: traffic between regions is expensive, and they receive heartbeats from
+/// several instances of this region.
+std::vector<HeardInstance> Roster::nextHeardBatch(const Common::RegionName &receiver,
+                                                  Time now) const
 {
     const bool ownRegion = receiver == self_.region;
     std::vector<HeardInstance> heard;
     for (const auto &[id, entry] : entries_) {
-        const bool tells = ownRegion || entry.record.region == self_.region;
-        if (alive(entry, now) && tells) {
+        const bool included = ownRegion || entry.record.region == self_.region;
+        if (alive(entry, now) && included) {
             const auto age = std::chrono::duration_cast<milliseconds>(now - entry.heard).count();
             const auto bounded =
                 static_cast<std::uint16_t>(std::clamp<std::int64_t>(age, 0, MaxAgeMs));
             heard.push_back({shortId(id), bounded});
         }
     }
-    const auto most = ownRegion ? MaxHeard : MaxHeardElsewhere;
-    if (heard.size() > most) {
-        const auto first = (static_cast<std::size_t>(round_) * most) % heard.size();
+    const auto limit = ownRegion ? MaxHeard : MaxHeardOtherRegion;
+    if (heard.size() > limit) {
+        const auto first = (static_cast<std::size_t>(round_) * limit) % heard.size();
         std::rotate(heard.begin(), heard.begin() + static_cast<std::ptrdiff_t>(first), heard.end());
-        heard.resize(most);
+        heard.resize(limit);
     }
     return heard;
 }
 
-void Roster::addTo(Sends &sends, const Entry &entry, Time now) const
+void Roster::addHeartbeat(Sends &sends, const Entry &entry, Time now) const
 {
     sends.push_back({entry.record.gossipAddress, makeHeartbeat(entry.record.region, now)});
 }
 
-std::vector<InstanceRecord> Roster::introductions(Time now)
+std::vector<InstanceRecord> Roster::sampleAliveRecords(Time now)
 {
     std::vector<InstanceRecord> records;
     for (const auto &[id, entry] : entries_) {
@@ -118,11 +121,11 @@
         }
     }
     std::shuffle(records.begin(), records.end(), random_);
-    records.resize(std::min(records.size(), MaxIntroductions));
+    records.resize(std::min(records.size(), MaxInstanceRecords));
     return records;
 }
 
-std::vector<const Roster::Entry *> Roster::choose(bool ownRegion, Time now)
+std::vector<const Roster::Entry *> Roster::chooseReceivers(bool ownRegion, Time now)
 {
     std::vector<const Entry *> candidates;
     for (const auto &[id, entry] : entries_) {
@@ -130,7 +133,7 @@
             candidates.push_back(&entry);
         }
     }
-    const auto fanout = ownRegion ? options_.ownFanout : options_.otherFanout;
+    const auto fanout = ownRegion ? options_.ownRegionFanout : options_.otherRegionFanout;
     if (candidates.size() > fanout) {
         std::shuffle(candidates.begin(), candidates.end(), random_);
         candidates.resize(fanout);
@@ -138,14 +141,14 @@
     return candidates;
 }
 
-void Roster::addRetries(Sends &sends, Time now)
+void Roster::addRetryHeartbeats(Sends &sends, Time now)
 {
     std::set<std::string> aliveAddresses;
     for (const auto &[id, entry] : entries_) {
         if (alive(entry, now)) {
             aliveAddresses.insert(entry.record.gossipAddress);
         } else {
-            addTo(sends, entry, now);
+            addHeartbeat(sends, entry, now);
         }
     }
     for (const auto &seed : seeds_) {
@@ -155,11 +158,11 @@
     }
 }
 
-void Roster::skipOwnPause(Time now)
+void Roster::compensateForSuspension(Time now)
 {
     const auto gap = now - lastTick_;
-    const bool paused = lastTick_ != Time() && gap > PauseIntervals * options_.interval;
-    if (paused) {
+    const bool suspended = lastTick_ != Time() && gap > SuspensionIntervals * options_.interval;
+    if (suspended) {
         for (auto &[id, entry] : entries_) {
             entry.heard += gap - options_.interval;
             entry.heardDirectly += gap - options_.interval;
@@ -170,25 +173,25 @@
 
 Sends Roster::tick(Time now)
 {
-    skipOwnPause(now);
+    compensateForSuspension(now);
     ++self_.sequence;
     Sends sends;
-    for (const auto *entry : choose(true, now)) {
-        addTo(sends, *entry, now);
+    for (const auto *entry : chooseReceivers(true, now)) {
+        addHeartbeat(sends, *entry, now);
     }
-    if (round_ % options_.otherRegionsEvery == 0) {
-        for (const auto *entry : choose(false, now)) {
-            addTo(sends, *entry, now);
+    if (round_ % options_.otherRegionRoundInterval == 0) {
+        for (const auto *entry : chooseReceivers(false, now)) {
+            addHeartbeat(sends, *entry, now);
         }
     }
-    const bool introduces = round_ % options_.retryEvery == 0;
-    if (introduces || round_ < options_.eagerRounds) {
-        addRetries(sends, now);
+    const bool retryRound = round_ % options_.retryRoundInterval == 0;
+    if (retryRound || round_ < options_.initialRetryRounds) {
+        addRetryHeartbeats(sends, now);
     }
-    if (introduces) {
+    if (retryRound) {
         if (!sends.empty()) {
             std::uniform_int_distribution<std::size_t> index(0, sends.size() - 1);
-            sends[index(random_)].heartbeat.introductions = introductions(now);
+            sends[index(random_)].heartbeat.instanceRecords = sampleAliveRecords(now);
         }
     }
     ++round_;
@@ -203,25 +206,28 @@
     Sends sends;
     for (const auto &[id, entry] : entries_) {
         if (alive(entry, now)) {
-            addTo(sends, entry, now);
+            addHeartbeat(sends, entry, now);
         }
     }
     return sends;
 }
 
-void Roster::learn(const InstanceRecord &record, Time now)
+void Roster::mergeRecord(const InstanceRecord &record, Time now)
 {
     if (record.id == self_.id) {
         return;
     }
     auto &entry = entries_[record.id];
     const bool unknown = entry.record.id.empty();
-    const bool sameLife = entry.record.incarnation == record.incarnation;
-    // Of another life only the instance itself may speak while this one is known to live.
-    const bool newer = sameLife ? record.sequence > entry.record.sequence : !alive(entry, now);
+    const bool sameIncarnation = entry.record.incarnation == record.incarnation;
+    // While the known incarnation is alive, a different one is accepted only from the instance
+    // itself.
+    const bool newer =
+        sameIncarnation ? record.sequence > entry.record.sequence : !alive(entry, now);
     if (unknown) {
-        // Introduced, not heard: it gets a heartbeat with the next round of retries.
-        entry.heard = now - options_.aliveFor - milliseconds(1);
+        // Known only from a peer and therefore not alive yet; it is contacted like a silent
+        // instance.
+        entry.heard = now - options_.aliveTimeout - milliseconds(1);
     }
     if (unknown || newer) {
         entry.record = record;
@@ -235,20 +241,20 @@
         return {};
     }
     auto &entry = entries_[sender.id];
-    const bool sameLife = entry.record.incarnation == sender.incarnation;
-    const bool isNew = !entry.everHeardDirectly || !sameLife;
-    if (!sameLife || sender.sequence >= entry.record.sequence) {
+    const bool sameIncarnation = entry.record.incarnation == sender.incarnation;
+    const bool isNew = !entry.everHeardDirectly || !sameIncarnation;
+    if (!sameIncarnation || sender.sequence >= entry.record.sequence) {
         entry.record = sender;
     }
     entry.heard = now;
     entry.heardDirectly = now;
     entry.everHeardDirectly = true;
     Sends sends;
-    for (const auto &record : heartbeat.introductions) {
+    for (const auto &record : heartbeat.instanceRecords) {
         const bool unknown = entries_.count(record.id) == 0 && record.id != self_.id;
-        learn(record, now);
+        mergeRecord(record, now);
         if (unknown) {
-            addTo(sends, entries_[record.id], now);
+            addHeartbeat(sends, entries_[record.id], now);
         }
     }
     std::map<std::uint32_t, std::uint16_t> ages;
@@ -262,8 +268,8 @@
         }
     }
     if (isNew) {
-        addTo(sends, entry, now);
-        sends.back().heartbeat.introductions = introductions(now);
+        addHeartbeat(sends, entry, now);
+        sends.back().heartbeat.instanceRecords = sampleAliveRecords(now);
     }
     return sends;
 }
@@ -276,7 +282,7 @@
         peer.record = entry.record;
         peer.alive = alive(entry, now);
         peer.reachable =
-            entry.everHeardDirectly && now - entry.heardDirectly <= options_.reachableFor;
+            entry.everHeardDirectly && now - entry.heardDirectly <= options_.reachableTimeout;
         result.push_back(std::move(peer));
     }
     return result;
--- a/Source/Core/Fleet/Roster.h
+++ b/Source/Core/Fleet/Roster.h
@@ -14,30 +14,31 @@
 using Common::milliseconds;
 using Common::Time;
 
-/// Times and amounts of the heartbeats.
+/// Timing and fan-out of the heartbeats.
 struct RosterOptions
 {
-    /// Between two heartbeats to the instances of the own region. What they tell of endpoints' load
-    /// is as old as this; a request holds its place on an endpoint about as long.
+    /// Interval between heartbeats to instances of the same region. The endpoint load that they
+    /// report is up to this old; a request holds its slot on an endpoint for about as long.
     milliseconds interval{250};
-    /// Heartbeats to other regions come with every such round only: bytes between regions cost
-    /// four times as much as those within one.
-    int otherRegionsEvery = 2;
-    /// An instance counts as alive this long after it was last heard: four heartbeats between
-    /// regions, so that two lost ones do no harm.
-    milliseconds aliveFor{2000};
-    /// Requests are forwarded to an instance that was heard this recently by itself.
-    milliseconds reachableFor{1600};
-    /// Receivers of one round in the own region and in the others. Up to 16 instances of a region
-    /// everyone hears everyone; beyond, ages travel with the heartbeats of others.
-    std::size_t ownFanout = 16;
-    std::size_t otherFanout = 6;
-    /// Addresses of silent instances and seeds are tried with every such round.
-    int retryEvery = 8;
-    /// In its first rounds, five seconds of them, an instance tries them with every one: its seeds
-    /// may be starting, too, and until one answers it takes itself to be alone.
-    int eagerRounds = 20;
-    /// A silent instance is forgotten after this long.
+    /// Rounds between heartbeats to other regions: traffic between regions costs four times as much
+    /// as traffic within one.
+    int otherRegionRoundInterval = 2;
+    /// An instance counts as alive for this long after the last evidence of it. Equals four
+    /// heartbeats between regions, which tolerates the loss of two.
+    milliseconds aliveTimeout{2000};
+    /// Requests are forwarded only to an instance that itself sent a heartbeat this recently.
+    milliseconds reachableTimeout{1600};
+    /// Receivers per round in the own region and in the others. In regions of up to 16 instances,
+    /// every instance sends to every other one; in larger ones, ages are also relayed in the
+    /// heartbeats of peers.
+    std::size_t ownRegionFanout = 16;
+    std::size_t otherRegionFanout = 6;
+    /// Rounds between heartbeats to silent instances and to seeds that are not known to be alive.
+    int retryRoundInterval = 8;
+    /// For this many rounds after its start (5 s), an instance contacts them in every round: its
+    /// seeds may be starting as well, and until one responds it assumes that it is alone.
+    int initialRetryRounds = 20;
+    /// Entries of silent instances are removed after this time.
     milliseconds forgetAfter{120000};
 };
 
@@ -46,7 +47,7 @@
 {
     InstanceRecord record;
     bool alive = false;
-    /// Heard by this instance itself, and lately.
+    /// This instance has recently received a heartbeat from the peer itself.
     bool reachable = false;
 };
 
@@ -58,31 +59,34 @@
 
 using Sends = std::vector<SendHeartbeat>;
 
-/// Who else is there. Every instance tells a number of others of itself at short intervals, and of
-/// whom it has heard; a new one begins with the seeds and is introduced to the rest.
+/// Gossip-based membership. At short intervals, every instance sends some of its peers its own
+/// record and the times at which it last heard of others. A new instance contacts the seeds and
+/// learns the remaining instances from their responses.
 ///
-/// What goes wrong without it: callers are named instances that are gone, and lose a second on each
-/// of them; a region that is cut off looks idle. A process that was itself suspended hears nobody
-/// for that time; the gap is taken off, so that it does not hold all others to be gone.
+/// Without it, callers would be directed to instances that no longer exist and lose a second on
+/// each of them, and a region that is partitioned off would look idle. A process that was suspended
+/// receives nothing during that time; the gap is subtracted from all ages so that it does not
+/// consider all peers dead.
 class Roster
 {
 public:
     Roster(RosterOptions options, InstanceRecord self, std::uint64_t seed);
 
-    /// Addresses to begin with; may change.
+    /// Sets the addresses that are contacted before any peer is known; may be called again.
     void setSeeds(const std::set<std::string> &gossipAddresses);
     void setReady(bool ready);
     void setLeaving();
     void setStoreRevision(std::uint64_t revision);
-    /// @param sinceAnswer nothing when the store has never answered
+    /// @param sinceAnswer empty if the store has never answered
     void setStoreContact(std::optional<Duration> sinceAnswer, bool settled);
-    /// What the next heartbeats carry to this region and to others.
+    /// Sets the load reports that heartbeats carry to the own region and to other regions.
     void setShares(std::string ownRegion, std::string otherRegions);
 
-    /// To be called at every interval.
+    /// Returns the heartbeats of one round. To be called once per interval.
     Sends tick(Time now);
-    /// Heartbeats to all who are alive, for what must be known at once.
+    /// Returns heartbeats to all peers that are alive, for changes that must be known immediately.
     Sends announce(Time now);
+    /// Processes a heartbeat; returns the heartbeats to be sent in response.
     Sends receive(const Heartbeat &heartbeat, Time now);
 
     std::vector<Peer> peers(Time now) const;
@@ -101,21 +105,21 @@
     };
 
     Heartbeat makeHeartbeat(const Common::RegionName &receiver, Time now) const;
-    std::vector<HeardInstance> heardInTurn(const Common::RegionName &receiver, Time now) const;
-    void addTo(Sends &sends, const Entry &entry, Time now) const;
-    void learn(const InstanceRecord &record, Time now);
-    std::vector<InstanceRecord> introductions(Time now);
+    std::vector<HeardInstance> nextHeardBatch(const Common::RegionName &receiver, Time now) const;
+    void addHeartbeat(Sends &sends, const Entry &entry, Time now) const;
+    void mergeRecord(const InstanceRecord &record, Time now);
+    std::vector<InstanceRecord> sampleAliveRecords(Time now);
     bool alive(const Entry &entry, Time now) const;
-    std::vector<const Entry *> choose(bool ownRegion, Time now);
-    void addRetries(Sends &sends, Time now);
-    void skipOwnPause(Time now);
+    std::vector<const Entry *> chooseReceivers(bool ownRegion, Time now);
+    void addRetryHeartbeats(Sends &sends, Time now);
+    void compensateForSuspension(Time now);
 
     RosterOptions options_;
     InstanceRecord self_;
     std::set<std::string> seeds_;
     std::map<Common::InstanceId, Entry> entries_;
-    std::string ownShare_;
-    std::string otherShare_;
+    std::string ownRegionLoadReport_;
+    std::string otherRegionsLoadReport_;
     std::mt19937_64 random_;
     int round_ = 0;
     Time lastTick_{};
--- a/Source/Core/Fleet/StoreWatch.cpp
+++ b/Source/Core/Fleet/StoreWatch.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-/// A heartbeat that told the age may itself be this old.
-constexpr milliseconds HeartbeatAge{600};
-/// Shorter waiting calls would make the store busy without end.
-constexpr milliseconds ShortestTimeout{950};
+/// Maximum age of the heartbeat that reported a peer's store age.
+constexpr milliseconds MaxHeartbeatAge{600};
+/// Shorter long-poll calls would keep the store permanently busy.
+constexpr milliseconds MinWatchTimeout{950};
 
-bool takesDuty(const InstanceRecord &self, const Peer &peer)
+bool isWatcherCandidate(const InstanceRecord &self, const Peer &peer)
 {
     return peer.reachable && !peer.record.leaving && peer.record.region == self.region;
 }
 
-std::uint64_t weightOf(const InstanceRecord &record)
+std::uint64_t watcherWeight(const InstanceRecord &record)
 {
     return Common::rendezvousWeight(record.region.text(), record.id.text());
 }
@@ -25,7 +25,7 @@
 
 milliseconds watchTimeout(milliseconds bound)
 {
-    return std::max(ShortestTimeout, bound / 2);
+    return std::max(MinWatchTimeout, bound / 2);
 }
 
 WatchOptions watchOptionsFor(milliseconds bound)
@@ -38,10 +38,10 @@
 WatchDuty watchDuty(const InstanceRecord &self, const std::vector<Peer> &peers,
                     const WatchOptions &options)
 {
-    const auto own = weightOf(self);
+    const auto own = watcherWeight(self);
     std::vector<const Peer *> ahead;
     for (const auto &peer : peers) {
-        if (takesDuty(self, peer) && weightOf(peer.record) > own) {
+        if (isWatcherCandidate(self, peer) && watcherWeight(peer.record) > own) {
             ahead.push_back(&peer);
         }
     }
@@ -49,14 +49,15 @@
         return WatchDuty::Watches;
     }
     std::sort(ahead.begin(), ahead.end(), [](const Peer *one, const Peer *other) {
-        return weightOf(one->record) > weightOf(other->record);
+        return watcherWeight(one->record) > watcherWeight(other->record);
     });
     ahead.resize(options.watchers);
-    const bool heard = std::any_of(ahead.begin(), ahead.end(), [&](const Peer *watcher) {
-        const auto &age = watcher->record.storeAgeMs;
-        return age && milliseconds(*age) <= options.answerAge;
-    });
-    return heard ? WatchDuty::Listens : WatchDuty::Looks;
+    const bool watcherHasContact =
+        std::any_of(ahead.begin(), ahead.end(), [&](const Peer *watcher) {
+            const auto &age = watcher->record.storeAgeMs;
+            return age && milliseconds(*age) <= options.answerAge;
+        });
+    return watcherHasContact ? WatchDuty::Listens : WatchDuty::Looks;
 }
 
 std::optional<Duration> knowledgeAge(std::optional<Duration> ownAnswerAge,
@@ -64,11 +65,12 @@
 {
     auto age = ownAnswerAge;
     for (const auto &peer : peers) {
-        const bool knowsNoMore = peer.reachable && peer.record.knownRevision <= ownRevision;
-        if (!knowsNoMore || !peer.record.storeAgeMs) {
+        const bool knowsNoLaterRevision =
+            peer.reachable && peer.record.knownRevision <= ownRevision;
+        if (!knowsNoLaterRevision || !peer.record.storeAgeMs) {
             continue;
         }
-        const Duration peerAge = milliseconds(*peer.record.storeAgeMs) + HeartbeatAge;
+        const Duration peerAge = milliseconds(*peer.record.storeAgeMs) + MaxHeartbeatAge;
         age = age ? std::min(*age, peerAge) : peerAge;
     }
     return age;
--- a/Source/Core/Fleet/StoreWatch.h
+++ b/Source/Core/Fleet/StoreWatch.h
@@ -7,44 +7,44 @@
 
 namespace LaburnumChute::Fleet {
 
-/// Whether an instance watches the platform's store itself.
+/// How an instance learns of changes of the platform's store.
 enum class WatchDuty {
-    /// It is one of the region's watchers.
+    /// It is one of the region's watchers and queries the store by long polling.
     Watches,
-    /// Watchers of its region hear the store, and it hears them.
+    /// It gets changes from the region's watchers, which receive responses from the store.
     Listens,
-    /// None of the region's watchers hears the store, or none can be heard: it looks for itself, at
-    /// longer intervals.
+    /// No watcher of the region is known to receive responses from the store: it queries the store
+    /// itself, at longer intervals.
     Looks,
 };
 
 struct WatchOptions
 {
-    /// Watchers of a region. Each change of the store wakes every waiting call, and each call has a
-    /// price: with 300 changes and 26 instances that was a twentieth of what a day is worth. Two,
-    /// so that the loss of one is not noticed.
+    /// Number of watchers per region. Each change of the store completes every long-poll call, and
+    /// each call has a price: with 300 changes and 26 instances, the calls cost a twentieth of
+    /// the value of a day. Two, so that the loss of one has no effect.
     std::size_t watchers = 2;
-    /// A watcher whose last answer from the store is older than this does not count.
+    /// A watcher whose last response from the store is older than this is not relied upon.
     milliseconds answerAge{1500};
 };
 
-/// Time within which a watcher's waiting call is answered or times out, where a change must be
-/// applied within the bound: half of it, so that there is time to query the store once more.
+/// Timeout of a watcher's long-poll call, where a change must be applied within the bound: half of
+/// the bound, which leaves time to query the store once more.
 milliseconds watchTimeout(milliseconds bound);
 
-/// Options for instances that must apply a change within the bound. A watcher counts while its last
-/// answer is no older than watchTimeout(); in the rest of the bound listeners receive the age in a
-/// heartbeat and query the store themselves.
+/// Options for instances that must apply a change within the bound. A watcher is relied upon while
+/// its last response is no older than watchTimeout(); the rest of the bound is left for listeners
+/// to receive that age in a heartbeat and to query the store themselves.
 WatchOptions watchOptionsFor(milliseconds bound);
 
-/// The duty of an instance, by a hash of the names of those that are alive in its region. Instances
-/// that see different ones choose differently for a moment; then there are more watchers or fewer
-/// listeners, and all of them still learn every change.
+/// Selects the duty of an instance by rendezvous hashing over the reachable instances of its
+/// region. Instances with different views of the region may disagree for a moment; the region then
+/// has more watchers or fewer listeners, and every instance still learns every change.
 WatchDuty watchDuty(const InstanceRecord &self, const std::vector<Peer> &peers,
                     const WatchOptions &options);
 
-/// What the instance knows of the store was the latest at most this long ago, be it by its own
-/// answers or by those of a peer that knows no more. Nothing when neither has had an answer.
+/// Upper bound on the time since the instance's copy of the store was up to date, from its own
+/// responses or from those of a peer that knows no later revision. Empty if there were none.
 std::optional<Duration> knowledgeAge(std::optional<Duration> ownAnswerAge,
                                      std::uint64_t ownRevision, const std::vector<Peer> &peers);
 
--- a/Source/UnitTests/Fleet/RosterTest.cpp
+++ b/Source/UnitTests/Fleet/RosterTest.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-/// A number of instances whose heartbeats reach each other unless the test stands in the way.
-class Bus
+/// Simulates instances that exchange heartbeats, with message loss and suspended processes.
+class SimulatedFleet
 {
 public:
-    using Lost = std::function<bool(const std::string &from, const std::string &to)>;
+    using DropRule = std::function<bool(const std::string &from, const std::string &to)>;
 
-    explicit Bus(const std::vector<std::string> &seeds)
+    explicit SimulatedFleet(const std::vector<std::string> &seeds)
         : seeds_(seeds.begin(), seeds.end())
     {
     }
@@ -36,9 +36,9 @@
     {
         rosters_.erase(name);
     }
-    void lose(Lost lost)
+    void setDropRule(DropRule rule)
     {
-        lost_ = std::move(lost);
+        dropRule_ = std::move(rule);
     }
 
     void run(milliseconds time)
@@ -46,29 +46,29 @@
         const auto end = now_ + time;
         while (now_ < end) {
             for (auto &[name, roster] : rosters_) {
-                if (frozen_.count(name) == 0) {
+                if (suspended_.count(name) == 0) {
                     deliver(name, roster->tick(now_));
                 }
             }
             now_ += RosterOptions().interval;
         }
     }
-    void freeze(const std::string &name)
+    void suspend(const std::string &name)
     {
-        frozen_.insert(name);
+        suspended_.insert(name);
     }
-    void wake(const std::string &name)
+    void resume(const std::string &name)
     {
-        frozen_.erase(name);
+        suspended_.erase(name);
     }
     void deliver(const std::string &from, const Sends &sends)
     {
         for (const auto &send : sends) {
             const auto receiver = rosters_.find(send.address);
-            const bool reaches = receiver != rosters_.end() && frozen_.count(send.address) == 0
-                                 && !(lost_ && lost_(from, send.address));
+            const bool reaches = receiver != rosters_.end() && suspended_.count(send.address) == 0
+                                 && !(dropRule_ && dropRule_(from, send.address));
             if (reaches) {
-                ++delivered_;
+                ++deliveredCount_;
                 deliver(send.address, receiver->second->receive(send.heartbeat, now_));
             }
         }
@@ -101,196 +101,199 @@
 private:
     std::set<std::string> seeds_;
     std::map<std::string, std::unique_ptr<Roster>> rosters_;
-    std::set<std::string> frozen_;
-    Lost lost_;
+    std::set<std::string> suspended_;
+    DropRule dropRule_;
     Time now_ = Time(std::chrono::seconds(1000));
-    std::size_t delivered_ = 0;
+    std::size_t deliveredCount_ = 0;
 };
 
 } // namespace
 
 TEST(RosterTest, InstancesFindEachOtherThroughOneSeed)
 {
-    Bus bus({"a"});
+    SimulatedFleet fleet({"a"});
     for (const auto *name : {"a", "b", "c", "d"}) {
-        bus.start(name, "north");
+        fleet.start(name, "north");
     }
-    bus.run(milliseconds(3000));
+    fleet.run(milliseconds(3000));
     for (const auto *name : {"a", "b", "c", "d"}) {
-        EXPECT_EQ(bus.alive(name), 3U) << name;
+        EXPECT_EQ(fleet.alive(name), 3U) << name;
     }
 }
 
-// All seeds are stale: two name machines that are gone, the third one is down as the fleet starts.
-// Instances that already know each other must not depend on them, and all join once it is up.
-TEST(RosterTest, FleetForgetsNobodyWhileSeedsAreDown)
+// Guards against losing known peers while no seed responds: two seeds are outdated, the third one
+// is stopped and later restarted. Peers must stay known meanwhile, and all instances must join
+// again after the restart.
+TEST(RosterTest, KnownPeersStayAliveWhileSeedsAreDown)
 {
-    Bus bus({"gone1", "gone2", "a"});
-    bus.start("a", "north");
-    bus.start("b", "north");
-    bus.start("c", "south");
-    bus.run(milliseconds(3000));
-    bus.stop("a");
-    bus.run(milliseconds(10000));
-    EXPECT_EQ(bus.alive("b"), 1U);
-    bus.start("a", "north", 2);
-    bus.run(milliseconds(5000));
-    EXPECT_EQ(bus.alive("b"), 2U);
-    EXPECT_EQ(bus.alive("c"), 2U);
+    SimulatedFleet fleet({"gone1", "gone2", "a"});
+    fleet.start("a", "north");
+    fleet.start("b", "north");
+    fleet.start("c", "south");
+    fleet.run(milliseconds(3000));
+    fleet.stop("a");
+    fleet.run(milliseconds(10000));
+    EXPECT_EQ(fleet.alive("b"), 1U);
+    fleet.start("a", "north", 2);
+    fleet.run(milliseconds(5000));
+    EXPECT_EQ(fleet.alive("b"), 2U);
+    EXPECT_EQ(fleet.alive("c"), 2U);
 }
 
-// All instances start in the same second, and the first one's seeds are not up yet. If it tried
-// them every two seconds only, it would take itself to be alone for as long and, say, send an
-// endpoint that has just started what all instances together may send.
-TEST(RosterTest, FirstInstanceIsKnownAsSoonAsItsSeedsAreUp)
+// Guards against a slow join when all instances start in the same second and a seed is not up yet.
+// With a retry only every two seconds, the first instance would assume for as long that it is
+// alone, and could send a newly started endpoint the load that all instances together may send.
+TEST(RosterTest, FirstInstanceJoinsAsSoonAsItsSeedIsUp)
 {
-    Bus bus({"seed"});
-    bus.start("first", "north");
-    bus.run(milliseconds(500));
-    bus.start("seed", "north");
-    bus.run(milliseconds(500));
-    EXPECT_EQ(bus.alive("first"), 1U);
-    EXPECT_EQ(bus.alive("seed"), 1U);
+    SimulatedFleet fleet({"seed"});
+    fleet.start("first", "north");
+    fleet.run(milliseconds(500));
+    fleet.start("seed", "north");
+    fleet.run(milliseconds(500));
+    EXPECT_EQ(fleet.alive("first"), 1U);
+    EXPECT_EQ(fleet.alive("seed"), 1U);
 }
 
-// An instance is killed. Callers that are still told of it lose a second on a connection that
-// nobody answers.
-TEST(RosterTest, KilledInstanceIsMissedWithinSeconds)
+// Guards against directing callers to a killed instance for too long: each of them would
+// lose a second on a connection attempt without response.
+TEST(RosterTest, KilledInstanceIsDetectedWithinSeconds)
 {
-    Bus bus({"a"});
+    SimulatedFleet fleet({"a"});
     for (const auto *name : {"a", "b", "c"}) {
-        bus.start(name, "north");
+        fleet.start(name, "north");
     }
-    bus.run(milliseconds(3000));
-    bus.stop("b");
-    bus.run(milliseconds(2750));
-    EXPECT_FALSE(bus.view("a", "b")->alive);
-    EXPECT_FALSE(bus.view("a", "b")->reachable);
-    EXPECT_TRUE(bus.view("a", "c")->alive);
+    fleet.run(milliseconds(3000));
+    fleet.stop("b");
+    fleet.run(milliseconds(2750));
+    EXPECT_FALSE(fleet.view("a", "b")->alive);
+    EXPECT_FALSE(fleet.view("a", "b")->reachable);
+    EXPECT_TRUE(fleet.view("a", "c")->alive);
 }
 
-// A process stands still for seconds and wakes. It has heard nobody meanwhile; were it to hold all
-// others to be gone, it would tell its callers of itself alone.
-TEST(RosterTest, ProcessThatWakesDoesNotHoldAllOthersToBeGone)
+// Guards against considering all peers dead after the own process was suspended for seconds, in
+// which it received nothing. Callers would then be directed to this instance alone.
+TEST(RosterTest, ResumedProcessKeepsItsPeersAlive)
 {
-    Bus bus({"a"});
+    SimulatedFleet fleet({"a"});
     for (const auto *name : {"a", "b", "c"}) {
-        bus.start(name, "north");
+        fleet.start(name, "north");
     }
-    bus.run(milliseconds(3000));
-    bus.freeze("a");
-    bus.run(milliseconds(8000));
-    bus.wake("a");
-    bus.deliver("a", bus.at("a").tick(bus.now()));
-    EXPECT_EQ(bus.alive("a"), 2U);
+    fleet.run(milliseconds(3000));
+    fleet.suspend("a");
+    fleet.run(milliseconds(8000));
+    fleet.resume("a");
+    fleet.deliver("a", fleet.at("a").tick(fleet.now()));
+    EXPECT_EQ(fleet.alive("a"), 2U);
 }
 
-TEST(RosterTest, LeavingIsKnownAtOnce)
+TEST(RosterTest, LeavingIsAnnouncedImmediately)
 {
-    Bus bus({"a"});
-    bus.start("a", "north");
-    bus.start("b", "south");
-    bus.run(milliseconds(3000));
-    bus.at("b").setLeaving();
-    bus.deliver("b", bus.at("b").announce(bus.now()));
-    EXPECT_TRUE(bus.view("a", "b")->record.leaving);
+    SimulatedFleet fleet({"a"});
+    fleet.start("a", "north");
+    fleet.start("b", "south");
+    fleet.run(milliseconds(3000));
+    fleet.at("b").setLeaving();
+    fleet.deliver("b", fleet.at("b").announce(fleet.now()));
+    EXPECT_TRUE(fleet.view("a", "b")->record.leaving);
 }
 
-// An instance that left is started again under its name. What was known of its former life must not
-// keep callers from it.
-TEST(RosterTest, NewLifeReplacesTheOneThatLeft)
+// Guards against applying the leaving state of an earlier incarnation to an instance that was
+// restarted under the same id, which would keep callers away from it.
+TEST(RosterTest, NewIncarnationReplacesTheLeavingOne)
 {
-    Bus bus({"a"});
-    bus.start("a", "north");
-    bus.start("b", "north");
-    bus.run(milliseconds(3000));
-    bus.at("b").setLeaving();
-    bus.run(milliseconds(1000));
-    bus.stop("b");
-    bus.start("b", "north", 2);
-    bus.run(milliseconds(3000));
-    EXPECT_FALSE(bus.view("a", "b")->record.leaving);
-    EXPECT_TRUE(bus.view("a", "b")->alive);
+    SimulatedFleet fleet({"a"});
+    fleet.start("a", "north");
+    fleet.start("b", "north");
+    fleet.run(milliseconds(3000));
+    fleet.at("b").setLeaving();
+    fleet.run(milliseconds(1000));
+    fleet.stop("b");
+    fleet.start("b", "north", 2);
+    fleet.run(milliseconds(3000));
+    EXPECT_FALSE(fleet.view("a", "b")->record.leaving);
+    EXPECT_TRUE(fleet.view("a", "b")->alive);
 }
 
-// Heartbeats get through one way only. The one who is heard but does not hear cannot be given work,
-// as the answer would be lost; it is judged by what it hears itself.
-TEST(RosterTest, OneWayCutMakesTheSilentSideUnreachable)
+// Heartbeats are lost in one direction only. The instance that receives none must consider the
+// sender unreachable, since a forwarded request would lose its response. Each instance judges a
+// peer only by the heartbeats that it receives itself.
+TEST(RosterTest, OneWayLossMakesTheSilentSideUnreachable)
 {
-    Bus bus({"a"});
-    bus.start("a", "north");
-    bus.start("b", "south");
-    bus.run(milliseconds(3000));
-    bus.lose([](const std::string &from, const std::string &) { return from == "a"; });
-    bus.run(milliseconds(4000));
-    EXPECT_FALSE(bus.view("b", "a")->reachable);
-    EXPECT_TRUE(bus.view("a", "b")->reachable);
+    SimulatedFleet fleet({"a"});
+    fleet.start("a", "north");
+    fleet.start("b", "south");
+    fleet.run(milliseconds(3000));
+    fleet.setDropRule([](const std::string &from, const std::string &) { return from == "a"; });
+    fleet.run(milliseconds(4000));
+    EXPECT_FALSE(fleet.view("b", "a")->reachable);
+    EXPECT_TRUE(fleet.view("a", "b")->reachable);
 }
 
-// Two regions lose each other for longer than anyone counts as alive, and find each other again
-// without any seed.
-TEST(RosterTest, RegionsFindEachOtherAgainAfterACut)
+// Guards against a permanent split after a partition between regions that lasts longer than the
+// alive timeout: the instances must find each other again without a running seed.
+TEST(RosterTest, RegionsRejoinAfterAPartition)
 {
-    Bus bus({"a"});
-    bus.start("a", "north");
-    bus.start("b", "south");
-    bus.run(milliseconds(3000));
-    bus.lose([](const std::string &, const std::string &) { return true; });
-    bus.run(milliseconds(15000));
-    EXPECT_EQ(bus.alive("a"), 0U);
-    bus.lose(nullptr);
-    bus.run(milliseconds(4000));
-    EXPECT_EQ(bus.alive("a"), 1U);
-    EXPECT_EQ(bus.alive("b"), 1U);
+    SimulatedFleet fleet({"a"});
+    fleet.start("a", "north");
+    fleet.start("b", "south");
+    fleet.run(milliseconds(3000));
+    fleet.setDropRule([](const std::string &, const std::string &) { return true; });
+    fleet.run(milliseconds(15000));
+    EXPECT_EQ(fleet.alive("a"), 0U);
+    fleet.setDropRule(nullptr);
+    fleet.run(milliseconds(4000));
+    EXPECT_EQ(fleet.alive("a"), 1U);
+    EXPECT_EQ(fleet.alive("b"), 1U);
 }
 
-// In a large fleet no instance speaks with all others; ages that travel with the heartbeats of
-// others keep them alive.
-TEST(RosterTest, LargeFleetIsKnownThroughOthers)
+// In a large fleet, an instance exchanges heartbeats with only some of its peers. The ages in their
+// heartbeats must keep the remaining ones alive.
+TEST(RosterTest, LargeFleetStaysAliveThroughRelayedAges)
 {
-    Bus bus({"n0", "n1"});
+    SimulatedFleet fleet({"n0", "n1"});
     constexpr int Instances = 60;
     for (int index = 0; index < Instances; ++index) {
-        bus.start("n" + std::to_string(index), index % 2 == 0 ? "north" : "south");
+        fleet.start("n" + std::to_string(index), index % 2 == 0 ? "north" : "south");
     }
-    bus.run(milliseconds(20000));
-    EXPECT_GE(bus.alive("n7"), Instances - 6U);
+    fleet.run(milliseconds(20000));
+    EXPECT_GE(fleet.alive("n7"), Instances - 6U);
 }
 
-// A heartbeat has no room for all instances of a large fleet. The same ones left out of all of them
-// would be taken for gone by everyone who does not hear them, and come back with the next
-// heartbeat.
-TEST(RosterTest, NobodyOfALargeFleetIsTakenForGoneWhileAllRun)
+// Guards against omitting the same instances from all heartbeats when a large fleet exceeds the
+// entries of one heartbeat. Peers that get no heartbeats from them would consider them dead until
+// the next one arrives.
+TEST(RosterTest, NoRunningInstanceOfALargeFleetIsConsideredDead)
 {
-    Bus bus({"n100", "n101"});
+    SimulatedFleet fleet({"n100", "n101"});
     constexpr int Instances = 120;
     for (int index = 0; index < Instances; ++index) {
         const char *regions[] = {"north", "south", "west"};
-        bus.start("n" + std::to_string(100 + index), regions[index % 3]);
+        fleet.start("n" + std::to_string(100 + index), regions[index % 3]);
     }
-    bus.run(milliseconds(10000));
+    fleet.run(milliseconds(10000));
     for (int second = 0; second < 5; ++second) {
-        bus.run(milliseconds(1000));
+        fleet.run(milliseconds(1000));
         for (const auto *viewer : {"n100", "n159", "n219"}) {
-            EXPECT_EQ(bus.alive(viewer), Instances - 1U) << viewer;
+            EXPECT_EQ(fleet.alive(viewer), Instances - 1U) << viewer;
         }
     }
 }
 
-// The last instance of a region hears few of another region's many. What these say of each other
-// has to reach it, too, or it takes most of them for gone.
-TEST(RosterTest, LoneInstanceOfARegionKnowsAllOfALargeOne)
+// Guards against missing peers when a region has a single instance, which receives heartbeats from
+// only a few instances of a large region. The ages that those report of each other must reach it,
+// or it would consider most of the region dead.
+TEST(RosterTest, SingleInstanceOfARegionKnowsAllOfALargeRegion)
 {
-    Bus bus({"n100", "n101"});
+    SimulatedFleet fleet({"n100", "n101"});
     constexpr int Instances = 60;
-    bus.start("lone", "south");
+    fleet.start("lone", "south");
     for (int index = 0; index < Instances; ++index) {
-        bus.start("n" + std::to_string(100 + index), "north");
+        fleet.start("n" + std::to_string(100 + index), "north");
     }
-    bus.run(milliseconds(10000));
+    fleet.run(milliseconds(10000));
     for (int second = 0; second < 5; ++second) {
-        bus.run(milliseconds(1000));
-        EXPECT_EQ(bus.alive("lone"), static_cast<std::size_t>(Instances));
+        fleet.run(milliseconds(1000));
+        EXPECT_EQ(fleet.alive("lone"), static_cast<std::size_t>(Instances));
     }
 }
 
--- a/Source/UnitTests/Fleet/StoreWatchTest.cpp
+++ b/Source/UnitTests/Fleet/StoreWatchTest.cpp
@@ -13,7 +13,7 @@
 
 using std::chrono::seconds;
 
-Peer peer(const std::string &name, const std::string &region, milliseconds storeAge)
+Peer makePeer(const std::string &name, const std::string &region, milliseconds storeAge)
 {
     Peer result;
     result.record.id = Common::InstanceId(name);
@@ -25,16 +25,16 @@
     return result;
 }
 
-std::vector<Peer> fleet(std::size_t size, milliseconds storeAge)
+std::vector<Peer> makePeers(std::size_t size, milliseconds storeAge)
 {
     std::vector<Peer> peers;
     for (std::size_t index = 0; index < size; ++index) {
-        peers.push_back(peer("n" + std::to_string(index), "north", storeAge));
+        peers.push_back(makePeer("n" + std::to_string(index), "north", storeAge));
     }
     return peers;
 }
 
-std::map<WatchDuty, int> duties(const std::vector<Peer> &all)
+std::map<WatchDuty, int> countDuties(const std::vector<Peer> &all)
 {
     std::map<WatchDuty, int> count;
     for (const auto &self : all) {
@@ -52,7 +52,7 @@
 public:
     SimulatedRegion(int size, milliseconds bound)
         : options_(watchOptionsFor(bound))
-        // Without changes, a waiting call is answered only when its wait ends.
+        // Without changes, a long-poll call is answered only when its wait time ends.
         , longestAnswerAge_(watchTimeout(bound) - milliseconds(200))
     {
         std::set<std::string> addresses;
@@ -128,26 +128,27 @@
 
 TEST(StoreWatchTest, TwoInstancesOfARegionWatch)
 {
-    const auto count = duties(fleet(10, milliseconds(300)));
+    const auto count = countDuties(makePeers(10, milliseconds(300)));
     EXPECT_EQ(count.at(WatchDuty::Watches), 2);
     EXPECT_EQ(count.at(WatchDuty::Listens), 8);
 }
 
 TEST(StoreWatchTest, AllOfASmallRegionWatch)
 {
-    EXPECT_EQ(duties(fleet(2, milliseconds(300))).at(WatchDuty::Watches), 2);
+    EXPECT_EQ(countDuties(makePeers(2, milliseconds(300))).at(WatchDuty::Watches), 2);
 }
 
-// The store turns the region's watchers away and would serve the others. Nobody would learn of a
-// configuration or of an endpoint that leaves.
-TEST(StoreWatchTest, OthersLookForThemselvesWhenTheWatchersHearNothing)
+// Guards against relying on watchers whose calls the store rejects while it would serve the other
+// instances. No instance would learn of a new configuration or of a draining endpoint.
+TEST(StoreWatchTest, OthersQueryTheStoreWhenTheWatchersGetNoResponse)
 {
-    const auto count = duties(fleet(10, milliseconds(9000)));
+    const auto count = countDuties(makePeers(10, milliseconds(9000)));
     EXPECT_EQ(count.at(WatchDuty::Looks), 8);
 }
 
-// The store stops answering all watchers at the moment of a change, while heartbeats still arrive.
-// Listeners must not rely on the watchers for longer than the bound allows.
+// Guards against applying a change late when the store stops responding to all watchers at the
+// moment of the change while heartbeats still arrive. Listeners must not rely on the watchers for
+// longer than the bound allows.
 TEST(StoreWatchTest, ListenersAskTheStoreWithinTheBoundWhenAllWatchersLoseIt)
 {
     constexpr int Instances = 12;
@@ -161,12 +162,13 @@
         while (region.listeners() > 0 && region.now() - lostAt < seconds(20)) {
             region.run(interval);
         }
-        // Leaves time for the call to the store and for requests already sent to an endpoint.
+        // Leaves time for the call to the store and for requests already assigned to an endpoint.
         EXPECT_LT(region.now() - lostAt, bound - milliseconds(600)) << bound.count();
     }
 }
 
-// Listeners must not call the store while the watchers' calls merely wait: each call has a price.
+// Guards against needless store calls, each of which has a price, while the watchers' long-poll
+// calls wait for a change.
 TEST(StoreWatchTest, ListenersDoNotAskTheStoreWhileItHasNoChanges)
 {
     constexpr int Instances = 12;
@@ -175,31 +177,31 @@
     EXPECT_EQ(region.listeners(), Instances - static_cast<int>(WatchOptions().watchers));
 }
 
-TEST(StoreWatchTest, InstanceThatReachesNobodyWatches)
+TEST(StoreWatchTest, InstanceWithoutReachablePeersWatches)
 {
-    auto others = fleet(10, milliseconds(300));
+    auto others = makePeers(10, milliseconds(300));
     for (auto &other : others) {
         other.reachable = false;
     }
-    const auto self = peer("alone", "north", milliseconds(0)).record;
+    const auto self = makePeer("alone", "north", milliseconds(0)).record;
     EXPECT_EQ(watchDuty(self, others, WatchOptions()), WatchDuty::Watches);
 }
 
-TEST(StoreWatchTest, KnowledgeIsAsFreshAsThatOfAPeerWhoKnowsNoMore)
+TEST(StoreWatchTest, StoreDataIsAsRecentAsThatOfAPeerWithNoLaterRevision)
 {
-    const auto others = fleet(3, milliseconds(200));
+    const auto others = makePeers(3, milliseconds(200));
     const auto known = knowledgeAge(std::chrono::seconds(60), 10, others);
     ASSERT_TRUE(known.has_value());
     EXPECT_LT(*known, std::chrono::seconds(2));
     EXPECT_EQ(knowledgeAge(std::chrono::seconds(60), 9, others), std::chrono::seconds(60));
 }
 
-// All instances of a region are started while the platform's store is away. None of them knows
-// anything of the store; none may take another's ignorance for knowledge, or it would tell callers
-// that their route does not exist.
-TEST(StoreWatchTest, WhoeverNeverHeardTheStoreKnowsNothing)
+// All instances of a region start during a store outage, so that none has any store data. Guards
+// against treating the data of a peer without store contact as current, in which case callers would
+// be told that their route does not exist.
+TEST(StoreWatchTest, StoreDataAgeIsUnknownWithoutStoreContact)
 {
-    auto others = fleet(3, milliseconds(200));
+    auto others = makePeers(3, milliseconds(200));
     for (auto &other : others) {
         other.record.storeAgeMs.reset();
     }
