--- a/Source/Core/Catalog/Catalog.cpp
+++ b/Source/Core/Catalog/Catalog.cpp
@@ -7,27 +7,28 @@
 {
 }
 
-CatalogNews Catalog::apply(const ItemChanges &changes, Duration grace, Time now)
+CatalogChanges Catalog::apply(const ItemChanges &changes, Duration grace, Time now)
 {
-    CatalogNews news;
+    CatalogChanges changed;
     for (const auto &item : items_.apply(changes)) {
-        take(item, decoder_(item), grace, now, news);
+        applyRecord(item, decoder_(item), grace, now, changed);
     }
-    return news;
+    return changed;
 }
 
-void Catalog::take(const Item &item, Record record, Duration grace, Time now, CatalogNews &news)
+void Catalog::applyRecord(const Item &item, Record record, Duration grace, Time now,
+                          CatalogChanges &changed)
 {
     if (auto *undecodable = std::get_if<Undecodable>(&record)) {
-        news.undecodable.emplace_back(item.key, std::move(undecodable->reason));
+        changed.undecodable.emplace_back(item.key, std::move(undecodable->reason));
         if (undecodable->endpoint) {
-            news.endpoints = true;
+            changed.endpoints = true;
             registry_.remove(*undecodable->endpoint, Duration(0), now);
         }
         return;
     }
     if (const auto *endpoint = std::get_if<EndpointRecord>(&record)) {
-        news.endpoints = true;
+        changed.endpoints = true;
         if (item.value) {
             registry_.update(*endpoint, now);
         } else {
@@ -36,7 +37,7 @@
         return;
     }
     if (const auto *evacuation = std::get_if<Evacuation>(&record)) {
-        news.evacuations = true;
+        changed.evacuations = true;
         if (item.value) {
             evacuated_.insert(evacuation->failureDomain);
         } else {
@@ -45,10 +46,10 @@
         return;
     }
     auto *configuration = std::get_if<Configuration>(&record);
-    // A lower version under a higher revision would be the operator's own step back; versions only
-    // grow, so that it is not believed.
+    // A lower version under a higher revision would be a rollback by the operator. Versions only
+    // increase, so it is ignored.
     if (configuration != nullptr && item.value && configuration->version > version()) {
-        news.configuration = true;
+        changed.configuration = true;
         routes_ = std::make_shared<const RouteTable>(
             std::make_shared<const Configuration>(std::move(*configuration)));
     }
--- a/Source/Core/Catalog/Catalog.h
+++ b/Source/Core/Catalog/Catalog.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Public header of the library Catalog: what the instance knows of routes, services, endpoints and
-// evacuations, and the versioned items of the platform's store of which it is made. No sockets.
+// Public header of the library Catalog: the instance's view of routes, services, endpoints and
+// evacuations, built from the versioned items of the platform's store. Performs no I/O.
 
 #include <functional>
 #include <memory>
@@ -17,31 +17,32 @@
 
 namespace LaburnumChute::Catalog {
 
-/// What a change of the catalog touched.
-struct CatalogNews
+/// The parts of the catalog that an update has changed.
+struct CatalogChanges
 {
     bool configuration = false;
     bool endpoints = false;
     bool evacuations = false;
-    /// Items that could not be read: key and reason.
+    /// Key of each item that could not be decoded, and the reason.
     std::vector<std::pair<std::string, std::string>> undecodable;
 };
 
-/// Turns items into what the instance acts on.
+/// Decodes items of the store and keeps the current routes, endpoints and evacuations.
 class Catalog
 {
 public:
-    /// Reads one item; deleted items are asked about with no value.
+    /// Decodes one item; a deleted item is passed without a value.
     using Decoder = std::function<Record(const Item &)>;
 
     explicit Catalog(Decoder decoder);
 
-    /// @param grace how long an endpoint stays in use after its record was removed
-    CatalogNews apply(const ItemChanges &changes, Duration grace, Time now);
-    /// Time passes: records that stayed away are given up.
+    /// @param grace how long an endpoint stays in use after the removal of its record
+    CatalogChanges apply(const ItemChanges &changes, Duration grace, Time now);
+    /// Takes endpoints out of service whose record has been missing for longer than its grace; true
+    /// if anything changed.
     bool expire(Time now);
 
-    /// Null until the first version is known.
+    /// Null until the first configuration is known.
     std::shared_ptr<const RouteTable> routes() const
     {
         return routes_;
@@ -64,7 +65,8 @@
     }
 
 private:
-    void take(const Item &item, Record record, Duration grace, Time now, CatalogNews &news);
+    void applyRecord(const Item &item, Record record, Duration grace, Time now,
+                     CatalogChanges &changed);
 
     Decoder decoder_;
     ItemStore items_;
--- a/Source/Core/Catalog/EndpointRegistry.cpp
+++ b/Source/Core/Catalog/EndpointRegistry.cpp
@@ -20,22 +20,22 @@
     auto &entry = entries_[record.id];
     auto &listed = entry.listed;
     const bool known = !listed.record.id.empty();
-    const bool sameLife = known && listed.record.startedAt == record.startedAt;
+    const bool sameStart = known && listed.record.startedAt == record.startedAt;
     if (known && record.startedAt < listed.record.startedAt) {
         return;
     }
-    if (sameLife && record.sequence < listed.record.sequence) {
-        // The record is there again, though this copy of it is an old one.
+    if (sameStart && record.sequence < listed.record.sequence) {
+        // The record exists again, even though this copy of it is outdated.
         entry.missingSince.reset();
         listed.missing = false;
         return;
     }
-    const bool wasLeaving = sameLife && listed.record.draining;
-    if (!sameLife) {
+    const bool wasDraining = sameStart && listed.record.draining;
+    if (!sameStart) {
         entry = Entry();
     }
     listed.record = record;
-    listed.record.draining = record.draining || wasLeaving;
+    listed.record.draining = record.draining || wasDraining;
     listed.leaving = listed.record.draining;
     listed.missing = false;
     listed.coldUntil = now + record.coldLeft;
@@ -73,11 +73,11 @@
             changed = true;
         }
     }
-    const auto forgotten = std::erase_if(entries_, [now](const auto &item) {
+    const auto dropped = std::erase_if(entries_, [now](const auto &item) {
         const auto &entry = item.second;
         return entry.missingSince && entry.leftAt && now - *entry.leftAt > LeftRetention;
     });
-    return changed || forgotten > 0;
+    return changed || dropped > 0;
 }
 
 std::vector<ListedEndpoint> EndpointRegistry::list() const
--- a/Source/Core/Catalog/EndpointRegistry.h
+++ b/Source/Core/Catalog/EndpointRegistry.h
@@ -8,32 +8,34 @@
 
 namespace LaburnumChute::Catalog {
 
-/// An endpoint as the registry knows it.
+/// An endpoint and its state in the registry.
 struct ListedEndpoint
 {
     EndpointRecord record;
-    /// It says that it leaves, or its record has gone for good.
+    /// It has announced that it is draining, or its record has been missing for longer than the
+    /// grace.
     bool leaving = false;
-    /// Its record has gone, perhaps only because nobody could renew it.
+    /// Its record is missing, possibly only because it could not be renewed.
     bool missing = false;
-    /// Until then it takes only few requests.
+    /// End of the warm-up time, in which the endpoint accepts only few requests.
     Time coldUntil{};
-    /// Set when it ends at a known time whatever it runs.
+    /// Set if the endpoint will be terminated at a known time, regardless of running requests.
     std::optional<Time> endsAt;
 };
 
-/// How long an endpoint whose record lapsed is still used. Records lapse unrenewed while the store
-/// is away and are back about two seconds after its return; what is still missing then has gone.
-/// Without the wait, a store that was away takes all endpoints out of service as it returns.
+/// How long an endpoint is used after its record has expired. During a store outage, records expire
+/// because they cannot be renewed, and reappear about two seconds after the store's recovery; an
+/// endpoint whose record is still missing then no longer exists. Without this grace, all endpoints
+/// would be taken out of service when the store recovers.
 inline constexpr milliseconds MissingGrace{1900};
 /// Requests to an endpoint that has left stop this long before the drain bound, so that requests
 /// already assigned to it arrive within the bound.
 inline constexpr milliseconds DrainMargin{500};
-/// The store counts as settled after this long without a failed or silent call: three times the
-/// interval of about 1.2 s in which endpoints renew their records, and a little more.
+/// The store counts as settled after this long without a call that failed or got no response. More
+/// than three times the interval of about 1.2 s at which endpoints renew their records.
 inline constexpr milliseconds StoreSettled{5000};
 
-/// How long an endpoint stays in use after its record was seen to be removed.
+/// How long an endpoint stays in use after the removal of its record was observed.
 ///
 /// The record may have been removed right after the catalog was last known to be complete, so the
 /// age of the catalog is subtracted from the grace. An age at or above the drain bound indicates a
@@ -42,26 +44,27 @@
 /// @param drainBound time after its removal by which an endpoint must receive no more requests
 Duration remainingGrace(bool storeSettled, std::optional<Duration> catalogAge, Duration drainBound);
 
-/// Records of endpoints that left are remembered this long, so that a late copy does not bring them
-/// back.
+/// Entries of endpoints that are no longer in service are kept this long, so that an outdated copy
+/// of a record does not bring them back.
 inline constexpr milliseconds LeftRetention{60000};
 
-/// Who serves, made of records that arrive late, twice or out of order.
+/// The known endpoints, built from records that may arrive late, repeatedly or out of order.
 ///
-/// Within one life of an endpoint only a higher sequence counts and leaving is never taken back; a
-/// later start under the same id replaces the earlier one. Otherwise a copy of an old record would
-/// put a leaving endpoint back into service.
+/// Between two starts of an endpoint, records with a lower sequence are ignored and draining is
+/// never revoked; a later start under the same id replaces the earlier one. Otherwise an outdated
+/// copy of a record would put a draining endpoint back into service.
 class EndpointRegistry
 {
 public:
     void update(const EndpointRecord &record, Time now);
-    /// The record of this id is gone.
+    /// Processes the removal of the endpoint's record.
     /// @param grace how long the endpoint stays in use
     void remove(const EndpointId &id, Duration grace, Time now);
-    /// Gives up what has been missing for too long; true when something changed.
+    /// Takes endpoints out of service that have been missing for longer than their grace, and drops
+    /// old entries; true if anything changed.
     bool expire(Time now);
 
-    /// All endpoints that may still be used or run something.
+    /// All endpoints that may still be in use or have running requests.
     std::vector<ListedEndpoint> list() const;
     std::size_t size() const
     {
--- a/Source/Core/Catalog/InstanceSettings.h
+++ b/Source/Core/Catalog/InstanceSettings.h
@@ -9,46 +9,47 @@
 
 namespace LaburnumChute::Catalog {
 
-/// Times and amounts that this instance has promised to keep to.
+/// Limits that this instance is required to meet.
 struct Bounds
 {
-    /// From the notice that an endpoint leaves to the last request sent to it.
+    /// From the notice that an endpoint is draining to the last request sent to it.
     Common::milliseconds endpointDrain{3000};
-    /// From the publication of a configuration to its effect.
+    /// From the publication of a configuration until it takes effect.
     Common::milliseconds configuration{3000};
-    /// From the notice of an evacuation to the last request sent there.
+    /// From the notice of an evacuation to the last request sent to the failure domain.
     Common::milliseconds evacuation{5000};
-    /// From the request to stop until the process is ended by force.
+    /// From the request to shut down until the process is killed.
     Common::milliseconds shutdown{8000};
-    /// Requests sent once more, as a share of the requests of a service in the window, plus a fixed
-    /// number; of all instances together.
+    /// Retry budget of all instances together: a fraction of the service's requests in the window,
+    /// plus a fixed number.
     double retryRatio = 0.2;
     Common::milliseconds retryWindow{10000};
     double retrySlack = 10;
-    /// A cold endpoint may get this many times its rate in a second, plus a fixed number.
+    /// Requests that a cold endpoint may get in a second: this multiple of its rate, plus a fixed
+    /// number.
     double coldOvershoot = 1;
     double coldSlack = 0;
-    /// Longest lifetime of the directory's answers that callers honour.
+    /// Longest lifetime of a directory response that callers honor.
     Common::milliseconds directoryLifetime{5000};
 };
 
-/// What the platform tells one instance of itself.
+/// Settings of one instance, as provided by the platform.
 struct InstanceSettings
 {
     Common::InstanceId instance;
     Common::RegionName region;
     Common::FailureDomainName failureDomain;
-    /// Of every failure domain its region.
+    /// The region of each failure domain.
     std::map<Common::FailureDomainName, Common::RegionName> regions;
     std::string ip;
-    /// "ip:port" each.
+    /// Addresses in the form "ip:port".
     std::string callerAddress;
     std::string readinessAddress;
     std::string directoryAddress;
     /// Ports for traffic between instances, the same on all of them.
     std::uint16_t gossipPort = 0;
     std::uint16_t peerPort = 0;
-    /// IPs of instances to begin with; they may be stale or down.
+    /// IP addresses of the instances to contact first; they may be outdated or unreachable.
     std::vector<std::string> seeds;
     std::string storeAddress;
     std::uint64_t memoryBytes = 256u << 20;
--- a/Source/Core/Catalog/ItemStore.cpp
+++ b/Source/Core/Catalog/ItemStore.cpp
@@ -7,13 +7,14 @@
 
 namespace {
 
-/// Deletions that are remembered, about 100 bytes each. A fleet that replaces 10,000 endpoints in
-/// an hour fills this in a quarter of an hour; a peer that was away longer gets a complete set.
+/// Maximum number of tombstones, at about 100 bytes each. A fleet that replaces 10,000 endpoints
+/// per hour reaches it in a quarter of an hour; a peer that was away for longer gets a complete
+/// set.
 constexpr std::size_t MaxTombstones = 2048;
 
 } // namespace
 
-void ItemStore::applyItem(const Item &item, std::vector<Item> &news)
+void ItemStore::applyItem(const Item &item, std::vector<Item> &changed)
 {
     auto &known = items_[item.key];
     if (!known.key.empty() && known.revision >= item.revision) {
@@ -23,14 +24,14 @@
     tombstones_ -= wasTombstone ? 1 : 0;
     tombstones_ += item.value ? 0 : 1;
     known = item;
-    news.push_back(item);
+    changed.push_back(item);
 }
 
 std::vector<Item> ItemStore::apply(const ItemChanges &changes)
 {
-    std::vector<Item> news;
+    std::vector<Item> changed;
     for (const auto &item : changes.items) {
-        applyItem(item, news);
+        applyItem(item, changed);
     }
     if (changes.complete) {
         std::set<std::string_view> listed;
@@ -44,14 +45,15 @@
             }
         }
         for (const auto &item : missing) {
-            // Of equal revision at most, since a listing does not say when the item went.
+            // The listing does not tell the revision of the deletion, so an item of equal revision
+            // must be replaced as well.
             items_[item.key].revision = 0;
-            applyItem(item, news);
+            applyItem(item, changed);
         }
     }
     upTo_ = std::max(upTo_, changes.upTo);
     pruneTombstones();
-    return news;
+    return changed;
 }
 
 ItemChanges ItemStore::since(Revision known) const
--- a/Source/Core/Catalog/ItemStore.h
+++ b/Source/Core/Catalog/ItemStore.h
@@ -8,15 +8,15 @@
 
 namespace LaburnumChute::Catalog {
 
-/// Counts the changes of the platform's store; every item bears that of its last change.
+/// Change counter of the platform's store; each item has the revision of its last change.
 using Revision = std::uint64_t;
 
-/// An item of the store, or the mark that it was deleted.
+/// An item of the store, or the tombstone of a deleted one.
 struct Item
 {
     std::string key;
     Revision revision = 0;
-    /// Nothing once the item is deleted.
+    /// Empty if the item was deleted.
     std::optional<std::string> value;
 
     /// For cereal.
@@ -27,7 +27,7 @@
     }
 };
 
-/// Changes up to a revision. A complete set names all items that there are: what it leaves out does
+/// Changes up to a revision. A complete set contains all existing items: an item that it omits does
 /// not exist.
 struct ItemChanges
 {
@@ -43,19 +43,20 @@
     }
 };
 
-/// This process's copy of the store's items, from the store itself or from other instances.
+/// This process's replica of the store's items, fed by the store itself and by peers.
 ///
-/// Copies arrive in any order and some are old: a peer that was cut off, a listing that lasted
-/// while items changed. Each item therefore only moves to a higher revision. Taken as they come, an
-/// old copy would bring back a configuration that was replaced or an endpoint that has left.
+/// Updates arrive in any order and may be outdated, for example from a peer that was partitioned or
+/// from a listing during which items changed. An item is therefore only replaced by a higher
+/// revision; otherwise an outdated copy would bring back a replaced configuration or a removed
+/// endpoint.
 class ItemStore
 {
 public:
-    /// Takes changes in; returns the items that are new or newer here, deletions among them.
+    /// Merges changes; returns the items that were added or replaced, including deletions.
     std::vector<Item> apply(const ItemChanges &changes);
-    /// What a peer lacks that knows everything up to the revision.
+    /// The changes that a peer needs that knows all changes up to the revision.
     ItemChanges since(Revision known) const;
-    /// Everything up to here is known.
+    /// All changes up to this revision are known.
     Revision upTo() const
     {
         return upTo_;
@@ -63,12 +64,13 @@
     std::size_t size() const;
 
 private:
-    void applyItem(const Item &item, std::vector<Item> &news);
+    void applyItem(const Item &item, std::vector<Item> &changed);
     void pruneTombstones();
 
     std::map<std::string, Item> items_;
     Revision upTo_ = 0;
-    /// Deletions up to here have been forgotten: who knows less needs a complete set.
+    /// Tombstones up to this revision were discarded; a peer at a lower revision needs a complete
+    /// set.
     Revision prunedUpTo_ = 0;
     std::size_t tombstones_ = 0;
 };
--- a/Source/Core/Catalog/RouteTable.h
+++ b/Source/Core/Catalog/RouteTable.h
@@ -13,17 +13,16 @@
 
 /// The path of a request target, without its query.
 std::string_view pathOf(std::string_view target);
-/// A Host header's name in lower case, without its port.
+/// The host name of a Host header in lower case, without the port.
 std::string hostName(std::string_view hostHeader);
 
-/// Finds routes by host and path.
+/// Looks up routes by host and path.
 class RouteTable
 {
 public:
     explicit RouteTable(std::shared_ptr<const Configuration> configuration);
 
-    /// Of the host's routes the one with the longest prefix that begins the path; null when none
-    /// does.
+    /// The route of the host with the longest prefix that matches the path; null if none matches.
     const Route *find(std::string_view hostHeader, std::string_view target) const;
     /// All routes of the host.
     std::vector<const Route *> routesOf(std::string_view hostHeader) const;
@@ -34,12 +33,12 @@
 
 private:
     std::shared_ptr<const Configuration> configuration_;
-    /// By host; the longest prefix first.
+    /// Keyed by host; each list starts with the longest prefix.
     std::unordered_map<std::string, std::vector<const Route *>> byHost_;
 };
 
-/// The service that takes the request. Every instance chooses the same one for the same request id,
-/// so that a request that is forwarded, or looked at twice, does not change its service.
+/// The service that handles the request, selected by weight. It depends only on the request id, so
+/// that a request that is forwarded or routed again keeps its service.
 const ServiceName &serviceFor(const Route &route, std::string_view requestId);
 
 } // namespace LaburnumChute::Catalog
--- a/Source/Core/Catalog/Types.h
+++ b/Source/Core/Catalog/Types.h
@@ -20,24 +20,24 @@
 using Common::ServiceName;
 using Common::Time;
 
-/// What may be repeated of a request.
+/// Whether a request may be executed more than once.
 enum class RequestKind {
-    /// Runs any number of times.
+    /// May be executed any number of times.
     Idempotent,
-    /// Runs at most once for each attempt of its caller.
+    /// Executed at most once per request of the caller; a retry by the caller is a new request.
     AtMostOnce,
-    /// Answered by a stream of events. Runs at most once, unless its route is resumable.
+    /// Answered by a stream of events. Executed at most once, unless its route is resumable.
     Stream,
 };
 
-/// A service that takes a share of a route's requests.
+/// A service that handles a fraction of a route's requests.
 struct WeightedService
 {
     ServiceName service;
     std::uint32_t weight = 1;
 };
 
-/// Requests of one host whose path begins with a prefix.
+/// Rules for the requests to one host whose path begins with a prefix.
 struct Route
 {
     std::string name;
@@ -45,37 +45,37 @@
     /// Begins and ends with a slash.
     std::string pathPrefix;
     RequestKind kind = RequestKind::AtMostOnce;
-    /// Longest time that a caller is kept waiting for the whole answer.
+    /// Maximum time until the response is complete.
     milliseconds timeout{0};
-    /// Time within which callers want the answer, or the first event of a stream.
+    /// Latency objective for the response, or for the first event of a stream.
     milliseconds objective{0};
-    /// Longest pause between two events of a stream; none for other kinds.
+    /// Maximum gap between two events of a stream; empty for other kinds.
     std::optional<milliseconds> gap;
-    /// 0 is the highest.
+    /// 0 is the highest priority.
     int priority = 0;
     std::vector<WeightedService> services;
-    /// Endpoints to which one request may be sent.
+    /// Maximum number of attempts per request, each at a different endpoint.
     int attempts = 1;
-    /// A broken stream may go on at another endpoint after its last whole event.
+    /// An interrupted stream may be resumed at another endpoint after its last complete event.
     bool resumable = false;
-    /// The only regions that may serve it; empty allows all.
+    /// Regions that may serve the route; empty allows all.
     std::vector<RegionName> homes;
 
-    /// True when a second run does no harm.
+    /// Whether repeated execution is harmless.
     bool repeatable() const
     {
         return kind == RequestKind::Idempotent || (kind == RequestKind::Stream && resumable);
     }
 };
 
-/// What a model engine's service says of all its endpoints.
+/// Properties that all endpoints of a model engine's service share.
 struct EngineTraits
 {
-    /// Requests in a batch.
+    /// Maximum number of requests in a batch.
     int slots = 0;
-    /// Tokens of prompts and answers that an endpoint's memory holds.
+    /// Capacity of an endpoint's KV cache, in tokens of prompts and output.
     std::int64_t cacheTokens = 0;
-    /// Cache entries may be copied from one endpoint to another.
+    /// KV cache entries can be copied from one endpoint to another.
     bool transfers = false;
 };
 
@@ -83,16 +83,16 @@
 {
     ServiceName name;
     std::string healthPath;
-    /// Connections of all callers together that one endpoint takes.
+    /// Maximum number of connections that one endpoint accepts from all its clients together.
     int connectionLimit = 0;
-    /// Time after its start during which an endpoint takes only few requests; zero for none.
+    /// Warm-up time after the start, in which an endpoint accepts only few requests; zero for none.
     Duration coldTime{0};
-    /// Requests a second that an endpoint takes in that time.
+    /// Requests per second that an endpoint accepts during the warm-up time.
     double coldRate = 0;
     std::optional<EngineTraits> engine;
 };
 
-/// Bounds on what callers send.
+/// Limits on callers' requests and connections.
 struct CallerLimits
 {
     std::uint32_t headerBytes = 16 * 1024;
@@ -101,7 +101,7 @@
     milliseconds idleTimeout{15000};
 };
 
-/// One version of what operators have published.
+/// One version of the configuration that operators have published.
 struct Configuration
 {
     Common::ConfigurationNumber version = 0;
@@ -110,7 +110,7 @@
     CallerLimits limits;
 };
 
-/// What an endpoint says of itself in the platform's store.
+/// The record that an endpoint publishes about itself in the platform's store.
 struct EndpointRecord
 {
     EndpointId id;
@@ -118,36 +118,37 @@
     /// "ip:port".
     std::string address;
     FailureDomainName failureDomain;
-    /// Requests that it serves at once.
+    /// Number of requests that the endpoint serves concurrently.
     int slots = 1;
-    /// It takes no new work.
+    /// The endpoint accepts no new requests.
     bool draining = false;
-    /// How much longer it stays cold, as of the writing of the record.
+    /// Remaining warm-up time when the record was written.
     Duration coldLeft{0};
-    /// Set when it ends soon whatever it runs.
+    /// Remaining time when the record was written; set if the endpoint will soon be terminated
+    /// regardless of running requests.
     std::optional<Duration> endsIn;
-    /// Unix milliseconds of its start; an id may be used again by a later start.
+    /// Start time in Unix milliseconds; a later start may reuse the id.
     std::int64_t startedAt = 0;
-    /// Grows within one life.
+    /// Increases during the run that began at startedAt.
     std::int64_t sequence = 0;
 };
 
-/// Nothing is to be sent to the endpoints of this failure domain.
+/// No requests may be sent to endpoints of this failure domain.
 struct Evacuation
 {
     FailureDomainName failureDomain;
 };
 
-/// An item that this project has no use for.
+/// An item that is not used by this project.
 struct Ignored
 {
 };
 
-/// An item that should be one of the others and cannot be read.
+/// An item with the key of a known record type whose value cannot be decoded.
 struct Undecodable
 {
     std::string reason;
-    /// Set when the item stands for an endpoint: nothing names that endpoint any more.
+    /// Set if the key is that of an endpoint, whose record then no longer exists.
     std::optional<EndpointId> endpoint;
 };
 
--- a/Source/Core/Dialect/Dialect.h
+++ b/Source/Core/Dialect/Dialect.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Public header of the library Dialect: what a request, an order to an endpoint and an answer say
-// beyond HTTP itself. Which headers say it is for the adapters to know.
+// Public header of the library Dialect: metadata of callers' requests, of requests to endpoints and
+// of endpoints' responses beyond plain HTTP. The adapters map it to concrete headers.
 
 #include <cstdint>
 #include <optional>
@@ -12,49 +12,49 @@
 
 namespace LaburnumChute::Dialect {
 
-/// A part of a prompt that several requests may share.
+/// A part of a prompt that several requests may have in common.
 struct PromptPart
 {
-    /// Names its content.
+    /// Identifies the content of the part.
     std::uint64_t id = 0;
     std::int64_t tokens = 0;
 };
 
-/// What a caller says of its request.
+/// Metadata of a caller's request.
 struct CallerHead
 {
-    /// Names this attempt of the caller; a retry has another one.
+    /// Unique per request; a retry by the caller has a different id.
     std::string requestId;
-    /// How long the caller waits.
+    /// Time that the caller is willing to wait.
     std::optional<Common::milliseconds> deadline;
     /// Zero for requests that are not for a model.
     std::int64_t promptTokens = 0;
     std::int64_t maxOutputTokens = 0;
-    /// The caller's own guess at the output, good at the median only.
+    /// The caller's estimate of the output length; accurate only in the median.
     std::optional<std::int64_t> expectedOutputTokens;
-    /// In order; the last one is the request's own.
+    /// Parts in prompt order; the last one is specific to this request.
     std::vector<PromptPart> promptParts;
-    /// The caller goes on with a stream after this event.
+    /// The caller resumes a stream after this event.
     std::optional<std::string> lastEventId;
 };
 
-/// What this system adds to a request for an endpoint.
+/// Metadata that is added to a request to an endpoint.
 struct EndpointOrder
 {
     std::string requestId;
-    /// What is left of the caller's time.
+    /// Remaining time of the caller's deadline.
     Common::milliseconds deadline{0};
-    /// The endpoint refuses the request unless it is this one: addresses are used again.
+    /// Expected receiver; any other endpoint rejects the request, since addresses are reused.
     Common::EndpointId endpoint;
-    /// 0 is the most urgent; none leaves the endpoint's default.
+    /// 0 is the most urgent; if empty, the endpoint's default applies.
     std::optional<int> urgency;
-    /// "ip:port" of an endpoint from which cached prompt parts are copied first.
+    /// "ip:port" of an endpoint from which cached prompt parts are copied before execution.
     std::optional<std::string> copyCacheFrom;
-    /// A stream goes on after this event.
+    /// The stream is to be resumed after this event.
     std::optional<std::string> lastEventId;
 };
 
-/// An endpoint's load as of its answer.
+/// An endpoint's load at the time of its response.
 struct LoadSample
 {
     int running = 0;
@@ -62,22 +62,22 @@
     int slots = 0;
 };
 
-/// What an endpoint says of its answer.
+/// Metadata of an endpoint's response.
 struct AnswerFacts
 {
-    /// Of the request that it answers; empty when it does not say.
+    /// Id of the request that was answered; empty if not stated.
     std::string requestId;
-    /// It bears the endpoint's signature.
+    /// The response carries the endpoint's signature, its seal.
     bool sealed = false;
-    /// The endpoint has not run the request and will not.
+    /// The endpoint has not executed the request and will not do so.
     bool notRun = false;
-    /// Another endpoint than the one expected has the address now.
+    /// The address now belongs to an endpoint other than the expected one.
     bool wrongEndpoint = false;
     std::optional<LoadSample> load;
     /// Rate limit in requests per second that applies to all instances together; empty if the
     /// endpoint announces none.
     std::optional<double> limitPerSecond;
-    /// How long the endpoint stays cold.
+    /// Remaining warm-up time of the endpoint.
     std::optional<Common::Duration> coldLeft;
 };
 
--- a/Source/UnitTests/Catalog/CatalogTest.cpp
+++ b/Source/UnitTests/Catalog/CatalogTest.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Keys: "c" a configuration whose version is the value, "z/NAME" an evacuation, "e/NAME" an
-/// endpoint whose value is its sequence or "bad".
+/// Keys: "c" is a configuration with its version as the value, "z/NAME" an evacuation, and "e/NAME"
+/// an endpoint with its sequence, or "bad", as the value.
 Record decode(const Item &item)
 {
     if (item.key == "c") {
@@ -31,7 +31,8 @@
 class CatalogTest : public testing::Test
 {
 protected:
-    CatalogNews apply(const std::string &key, Revision revision, std::optional<std::string> value)
+    CatalogChanges apply(const std::string &key, Revision revision,
+                         std::optional<std::string> value)
     {
         return catalog_.apply({{Item{key, revision, std::move(value)}}, revision, false},
                               Duration(0), now_);
@@ -43,15 +44,15 @@
 
 } // namespace
 
-TEST_F(CatalogTest, KnowsNoRoutesBeforeTheFirstConfiguration)
+TEST_F(CatalogTest, HasNoRoutesBeforeTheFirstConfiguration)
 {
     EXPECT_EQ(catalog_.routes(), nullptr);
     EXPECT_TRUE(apply("c", 1, "3").configuration);
     EXPECT_EQ(catalog_.version(), 3U);
 }
 
-// An old version is written again under a new revision, or read from a copy that lags. Callers
-// would see routes go and come back.
+// Guards against a rollback when an old version is written again under a new revision or read from
+// an outdated copy. Callers would see routes disappear and reappear.
 TEST_F(CatalogTest, VersionsOnlyGrow)
 {
     apply("c", 1, "7");
@@ -69,15 +70,15 @@
     EXPECT_TRUE(catalog_.evacuated().empty());
 }
 
-// Another writer puts bytes under an endpoint's key that are no record. They name no endpoint, and
-// the one that the key named before is no longer vouched for; the others stay.
-TEST_F(CatalogTest, UnreadableRecordNamesNoEndpoint)
+// Another writer stores an undecodable value under an endpoint's key. The endpoint of that key must
+// be taken out of service, and all others must stay.
+TEST_F(CatalogTest, UndecodableRecordTakesItsEndpointOutOfService)
 {
     apply("e/one", 1, "1");
     apply("e/two", 2, "1");
-    const auto news = apply("e/one", 3, "bad");
-    ASSERT_EQ(news.undecodable.size(), 1U);
-    EXPECT_EQ(news.undecodable[0].first, "e/one");
+    const auto changed = apply("e/one", 3, "bad");
+    ASSERT_EQ(changed.undecodable.size(), 1U);
+    EXPECT_EQ(changed.undecodable[0].first, "e/one");
     for (const auto &endpoint : catalog_.endpoints()) {
         EXPECT_EQ(endpoint.leaving, endpoint.record.id == EndpointId("one"));
     }
--- a/Source/UnitTests/Catalog/EndpointRegistryTest.cpp
+++ b/Source/UnitTests/Catalog/EndpointRegistryTest.cpp
@@ -21,7 +21,7 @@
         return record;
     }
 
-    ListedEndpoint only() const
+    ListedEndpoint onlyEndpoint() const
     {
         return registry_.list().at(0);
     }
@@ -32,65 +32,65 @@
 
 } // namespace
 
-// A record that an endpoint wrote before it began to leave is written late, after the one that says
-// so. The endpoint would get new work until it ends under it.
-TEST_F(EndpointRegistryTest, LateRecordDoesNotTakeLeavingBack)
+// Guards against putting a draining endpoint back into service when a record from before the drain
+// arrives late. The endpoint would get new requests and terminate while they are running.
+TEST_F(EndpointRegistryTest, LateRecordDoesNotRevokeDraining)
 {
     registry_.update(record(1, 7, true), now_);
     registry_.update(record(1, 6), now_);
-    EXPECT_TRUE(only().leaving);
+    EXPECT_TRUE(onlyEndpoint().leaving);
     registry_.update(record(1, 8), now_);
-    EXPECT_TRUE(only().leaving);
+    EXPECT_TRUE(onlyEndpoint().leaving);
 }
 
-TEST_F(EndpointRegistryTest, LaterLifeUnderTheSameIdIsInService)
+TEST_F(EndpointRegistryTest, LaterStartUnderTheSameIdIsInService)
 {
     registry_.update(record(1, 7, true), now_);
     registry_.update(record(2, 1), now_);
-    EXPECT_FALSE(only().leaving);
-    EXPECT_EQ(only().record.startedAt, 2);
+    EXPECT_FALSE(onlyEndpoint().leaving);
+    EXPECT_EQ(onlyEndpoint().record.startedAt, 2);
 }
 
-// A copy of the former life's record arrives after the new life's. What it says is of a process
-// that has ended.
-TEST_F(EndpointRegistryTest, RecordOfAFormerLifeIsIgnored)
+// Guards against applying an outdated record to a restarted endpoint: it describes a process that
+// has ended.
+TEST_F(EndpointRegistryTest, RecordOfAnEarlierStartIsIgnored)
 {
     registry_.update(record(2, 1), now_);
     registry_.update(record(1, 9, true), now_);
-    EXPECT_FALSE(only().leaving);
+    EXPECT_FALSE(onlyEndpoint().leaving);
 }
 
-// Endpoints that leave without a word delete their record. Those who still send to them are served
-// for a few seconds only.
-TEST_F(EndpointRegistryTest, EndpointWhoseRecordGoesWhileTheStoreIsSettledLeavesAtOnce)
+// An endpoint that leaves without a drain notice deletes its record, and serves requests for
+// only a few more seconds.
+TEST_F(EndpointRegistryTest, RemovalWithoutGraceTakesTheEndpointOutOfService)
 {
     registry_.update(record(1, 1), now_);
     registry_.remove(EndpointId("e"), Duration(0), now_);
-    EXPECT_TRUE(only().leaving);
+    EXPECT_TRUE(onlyEndpoint().leaving);
 }
 
-// The store was away and records lapsed, since nobody could renew them. All endpoints would be out
-// of service as it returns, and every caller turned away.
-TEST_F(EndpointRegistryTest, RecordsThatLapsedWithTheStoreAreWaitedFor)
+// Guards against taking all endpoints out of service, and rejecting every request, when the store
+// recovers from an outage in which records expired because they could not be renewed.
+TEST_F(EndpointRegistryTest, EndpointStaysInServiceDuringTheGrace)
 {
     registry_.update(record(1, 1), now_);
     registry_.remove(EndpointId("e"), MissingGrace, now_);
     EXPECT_FALSE(registry_.expire(now_ + milliseconds(1500)));
-    EXPECT_TRUE(only().missing);
-    EXPECT_FALSE(only().leaving);
+    EXPECT_TRUE(onlyEndpoint().missing);
+    EXPECT_FALSE(onlyEndpoint().leaving);
     registry_.update(record(1, 2), now_ + milliseconds(1600));
-    EXPECT_FALSE(only().missing);
+    EXPECT_FALSE(onlyEndpoint().missing);
 }
 
-TEST_F(EndpointRegistryTest, RecordThatStaysAwayMeansThatTheEndpointHasGone)
+TEST_F(EndpointRegistryTest, EndpointIsOutOfServiceAfterTheGrace)
 {
     registry_.update(record(1, 1), now_);
     registry_.remove(EndpointId("e"), MissingGrace, now_);
     EXPECT_TRUE(registry_.expire(now_ + milliseconds(2000)));
-    EXPECT_TRUE(only().leaving);
+    EXPECT_TRUE(onlyEndpoint().leaving);
 }
 
-// Guards against adding the full grace to the delay with which a stale catalog shows a removal.
+// Guards against adding the full grace to the delay with which an outdated catalog shows a removal.
 TEST_F(EndpointRegistryTest, LateRemovalStaysWithinTheDrainBound)
 {
     for (const auto bound : {milliseconds(3000), milliseconds(5000)}) {
@@ -111,22 +111,22 @@
     EXPECT_EQ(remainingGrace(true, milliseconds(0), milliseconds(5000)), Duration(0));
 }
 
-// An old copy of the record is better than none: the endpoint is there.
-TEST_F(EndpointRegistryTest, OldCopyOfALapsedRecordShowsThatTheEndpointIsThere)
+// Even an outdated copy of the record shows that the endpoint still exists.
+TEST_F(EndpointRegistryTest, OutdatedCopyOfAMissingRecordEndsTheGrace)
 {
     registry_.update(record(1, 5), now_);
     registry_.remove(EndpointId("e"), MissingGrace, now_);
     registry_.update(record(1, 4), now_);
-    EXPECT_FALSE(only().missing);
-    EXPECT_EQ(only().record.sequence, 5);
+    EXPECT_FALSE(onlyEndpoint().missing);
+    EXPECT_EQ(onlyEndpoint().record.sequence, 5);
 }
 
-TEST_F(EndpointRegistryTest, ColdTimeCountsFromTheArrivalOfTheRecord)
+TEST_F(EndpointRegistryTest, WarmUpTimeCountsFromTheArrivalOfTheRecord)
 {
     auto cold = record(1, 1);
     cold.coldLeft = milliseconds(3000);
     registry_.update(cold, now_);
-    EXPECT_EQ(only().coldUntil, now_ + milliseconds(3000));
+    EXPECT_EQ(onlyEndpoint().coldUntil, now_ + milliseconds(3000));
 }
 
 } // namespace LaburnumChute::Catalog
--- a/Source/UnitTests/Catalog/ItemStoreTest.cpp
+++ b/Source/UnitTests/Catalog/ItemStoreTest.cpp
@@ -31,9 +31,9 @@
 
 } // namespace
 
-// A peer that was cut off hands on what it knew before. Its copy of the configuration is older than
-// ours, and taken as it comes it would bring back routes that were removed.
-TEST(ItemStoreTest, OlderCopyChangesNothing)
+// Guards against restoring removed routes when a peer that was partitioned sends an outdated copy
+// of the configuration.
+TEST(ItemStoreTest, OutdatedCopyChangesNothing)
 {
     ItemStore store;
     store.apply({{item("a", 5, "new")}, 5, false});
@@ -42,9 +42,9 @@
     EXPECT_EQ(store.upTo(), 5U);
 }
 
-// An endpoint's record was deleted; then an old copy of it arrives from a peer. Requests would be
-// sent to an endpoint that has gone.
-TEST(ItemStoreTest, DeletedItemDoesNotComeBackByAnOldCopy)
+// Guards against sending requests to a removed endpoint when an outdated copy of its record arrives
+// from a peer after the deletion.
+TEST(ItemStoreTest, OutdatedCopyDoesNotRestoreADeletedItem)
 {
     ItemStore store;
     store.apply({{item("a", 2, "x"), deletion("a", 4)}, 4, false});
@@ -52,21 +52,21 @@
     EXPECT_TRUE(contents(store).empty());
 }
 
-// The store has forgotten its history, and an item was deleted meanwhile: only the listing, which
-// lacks it, can tell.
-TEST(ItemStoreTest, ListingDeletesWhatItLeavesOut)
+// The store has discarded its change history, and an item was deleted meanwhile. Only its absence
+// from the listing shows the deletion.
+TEST(ItemStoreTest, ListingDeletesOmittedItems)
 {
     ItemStore store;
     store.apply({{item("a", 2, "x"), item("b", 3, "y")}, 3, true});
-    const auto news = store.apply({{item("b", 3, "y")}, 9, true});
-    ASSERT_EQ(news.size(), 1U);
-    EXPECT_EQ(news[0].key, "a");
-    EXPECT_FALSE(news[0].value);
+    const auto changed = store.apply({{item("b", 3, "y")}, 9, true});
+    ASSERT_EQ(changed.size(), 1U);
+    EXPECT_EQ(changed[0].key, "a");
+    EXPECT_FALSE(changed[0].value);
 }
 
-// A listing has several pages, and an item of a later page is newer than the first page. A change
-// that came in between from a peer must not be undone.
-TEST(ItemStoreTest, ListingKeepsWhatIsNewerThanItself)
+// Guards against undoing a change that a peer sent while the pages of a listing were being read:
+// the item is newer than the listing and must be kept.
+TEST(ItemStoreTest, ListingKeepsNewerItems)
 {
     ItemStore store;
     store.apply({{item("a", 12, "x")}, 12, false});
@@ -74,7 +74,7 @@
     EXPECT_EQ(contents(store).size(), 1U);
 }
 
-TEST(ItemStoreTest, PeerThatKnowsMostGetsOnlyTheRest)
+TEST(ItemStoreTest, PeerGetsOnlyMissingChanges)
 {
     ItemStore store;
     store.apply({{item("a", 2, "x"), item("b", 5, "y"), deletion("c", 6)}, 6, false});
@@ -84,9 +84,9 @@
     EXPECT_EQ(changes.upTo, 6U);
 }
 
-// Deletions are forgotten after thousands of them. A peer that was away for longer would never
-// learn of those, unless it gets all that there is.
-TEST(ItemStoreTest, PeerThatWasAwayForLongGetsACompleteSet)
+// Tombstones are discarded after thousands of deletions. A peer that was away for longer would
+// never learn of those deletions unless it gets a complete set.
+TEST(ItemStoreTest, PeerBehindDiscardedTombstonesGetsACompleteSet)
 {
     ItemStore store;
     Revision revision = 10;
--- a/Source/UnitTests/Catalog/RouteTableTest.cpp
+++ b/Source/UnitTests/Catalog/RouteTableTest.cpp
@@ -41,7 +41,7 @@
     EXPECT_EQ(found(routes, "nobody", "/a/b"), "");
 }
 
-TEST(RouteTableTest, PrefixCountsWithItsSlashAndWithoutTheQuery)
+TEST(RouteTableTest, PrefixIncludesItsSlashAndIgnoresTheQuery)
 {
     const auto routes = table({route("h", "/a/", "x")});
     EXPECT_EQ(found(routes, "h", "/a"), "");
@@ -50,15 +50,15 @@
     EXPECT_EQ(found(routes, "h", "/a/?x=/b/"), "/a/");
 }
 
-TEST(RouteTableTest, HostIsTakenInAnyCaseAndWithoutItsPort)
+TEST(RouteTableTest, HostIgnoresCaseAndPort)
 {
     const auto routes = table({route("Shop.example", "/", "x")});
     EXPECT_EQ(found(routes, "shop.EXAMPLE:8080", "/"), "/");
 }
 
-// Two instances look at one request, since it was forwarded or sent again. If each drew the service
-// anew, one request would run at two of them.
-TEST(RouteTableTest, SplitDependsOnTheRequestAlone)
+// Two instances select the service of the same request after it was forwarded or sent again. A
+// random choice by each of them could execute it at two services.
+TEST(RouteTableTest, SplitDependsOnlyOnTheRequest)
 {
     auto split = route("h", "/", "x");
     split.services = {{ServiceName("x"), 90}, {ServiceName("y"), 10}};
@@ -72,7 +72,7 @@
     EXPECT_NEAR(atY, Requests / 10.0, Requests / 40.0);
 }
 
-TEST(RouteTableTest, SplitWithoutWeightsStillNamesAService)
+TEST(RouteTableTest, SplitWithoutWeightsSelectsAService)
 {
     auto split = route("h", "/", "x");
     split.services = {{ServiceName("x"), 0}, {ServiceName("y"), 0}};
