--- a/Source/Core/Catalog/Types.h
+++ b/Source/Core/Catalog/Types.h
@@ -76,7 +76,7 @@
     /// Capacity of an endpoint's KV cache, in tokens of prompts and output.
     std::int64_t cacheTokens = 0;
     /// KV cache entries can be copied from one endpoint to another.
-    bool transfers = false;
+    bool supportsCacheTransfer = false;
 };
 
 struct Service
--- a/Source/Core/Dialect/Dialect.h
+++ b/Source/Core/Dialect/Dialect.h
@@ -21,7 +21,7 @@
 };
 
 /// Metadata of a caller's request.
-struct CallerHead
+struct CallerMetadata
 {
     /// Unique per request; a retry by the caller has a different id.
     std::string requestId;
@@ -39,7 +39,7 @@
 };
 
 /// Metadata that is added to a request to an endpoint.
-struct EndpointOrder
+struct EndpointRequestMetadata
 {
     std::string requestId;
     /// Remaining time of the caller's deadline.
@@ -63,7 +63,7 @@
 };
 
 /// Metadata of an endpoint's response.
-struct AnswerFacts
+struct EndpointResponseMetadata
 {
     /// Id of the request that was answered; empty if not stated.
     std::string requestId;
--- a/Source/Core/Dispatch/Placement.cpp
+++ b/Source/Core/Dispatch/Placement.cpp
@@ -197,7 +197,7 @@
     double extraMs = 0;
     if (service.engine) {
         auto cached = endpoint.cache.cachedTokens(call.facts.parts);
-        const bool copies = service.engine->transfers && holder.endpoint != &endpoint
+        const bool copies = service.engine->supportsCacheTransfer && holder.endpoint != &endpoint
                             && holder.tokens - cached >= options_->copyMinimumTokens;
         Duration copying{0};
         if (copies) {
--- a/Source/Core/Fleet/Heartbeat.h
+++ b/Source/Core/Fleet/Heartbeat.h
@@ -70,13 +70,13 @@
     std::vector<InstanceRecord> instanceRecords;
     /// Encoded load report of the sender, in the format for its own region or for other regions.
     /// Not interpreted by this library.
-    std::string share;
+    std::string loadReport;
 
     /// For cereal.
     template <typename Archive>
     void serialize(Archive &archive)
     {
-        archive(self, heard, instanceRecords, share);
+        archive(self, heard, instanceRecords, loadReport);
     }
 };
 
--- a/Source/Core/Fleet/Roster.cpp
+++ b/Source/Core/Fleet/Roster.cpp
@@ -60,7 +60,7 @@
     self_.storeSettled = settled;
 }
 
-void Roster::setShares(std::string ownRegion, std::string otherRegions)
+void Roster::setLoadReports(std::string ownRegion, std::string otherRegions)
 {
     ownRegionLoadReport_ = std::move(ownRegion);
     otherRegionsLoadReport_ = std::move(otherRegions);
@@ -75,7 +75,8 @@
 {
     Heartbeat heartbeat;
     heartbeat.self = self_;
-    heartbeat.share = receiver == self_.region ? ownRegionLoadReport_ : otherRegionsLoadReport_;
+    heartbeat.loadReport =
+        receiver == self_.region ? ownRegionLoadReport_ : otherRegionsLoadReport_;
     heartbeat.heard = nextHeardBatch(receiver, now);
     return heartbeat;
 }
--- a/Source/Core/Fleet/Roster.h
+++ b/Source/Core/Fleet/Roster.h
@@ -80,7 +80,7 @@
     /// @param sinceAnswer empty if the store has never answered
     void setStoreContact(std::optional<Duration> sinceAnswer, bool settled);
     /// Sets the load reports that heartbeats carry to the own region and to other regions.
-    void setShares(std::string ownRegion, std::string otherRegions);
+    void setLoadReports(std::string ownRegion, std::string otherRegions);
 
     /// Returns the heartbeats of one round. To be called once per interval.
     Sends tick(Time now);
--- a/Source/Core/Fleet/StoreWatch.cpp
+++ b/Source/Core/Fleet/StoreWatch.cpp
@@ -60,7 +60,7 @@
     return watcherHasContact ? WatchDuty::Listens : WatchDuty::Looks;
 }
 
-std::optional<Duration> knowledgeAge(std::optional<Duration> ownAnswerAge,
+std::optional<Duration> storeDataAge(std::optional<Duration> ownAnswerAge,
                                      std::uint64_t ownRevision, const std::vector<Peer> &peers)
 {
     auto age = ownAnswerAge;
--- a/Source/Core/Fleet/StoreWatch.h
+++ b/Source/Core/Fleet/StoreWatch.h
@@ -45,7 +45,7 @@
 
 /// Upper bound on the time since the instance's copy of the store was up to date, from its own
 /// responses or from those of a peer that knows no later revision. Empty if there were none.
-std::optional<Duration> knowledgeAge(std::optional<Duration> ownAnswerAge,
+std::optional<Duration> storeDataAge(std::optional<Duration> ownAnswerAge,
                                      std::uint64_t ownRevision, const std::vector<Peer> &peers);
 
 } // namespace LaburnumChute::Fleet
--- a/Source/Core/Relay/RelayKnowledge.cpp
+++ b/Source/Core/Relay/RelayKnowledge.cpp
@@ -86,7 +86,7 @@
 
 std::optional<Common::Duration> RelayGateway::catalogAge(Common::Time now) const
 {
-    return Fleet::knowledgeAge(store_.answerAge(now), catalog_.items().upTo(), knownPeers_);
+    return Fleet::storeDataAge(store_.answerAge(now), catalog_.items().upTo(), knownPeers_);
 }
 
 bool RelayGateway::catalogFresh(Common::Time now) const
@@ -151,14 +151,14 @@
 {
     sendAll(roster_.receive(heartbeat, now));
     const auto &sender = heartbeat.self;
-    if (heartbeat.share.empty() || sender.id == settings_.instance) {
+    if (heartbeat.loadReport.empty() || sender.id == settings_.instance) {
         return;
     }
     if (sender.region == settings_.region) {
-        if (const auto share = Peers::decodeValue<Dispatch::RegionShare>(heartbeat.share)) {
+        if (const auto share = Peers::decodeValue<Dispatch::RegionShare>(heartbeat.loadReport)) {
             carryOut(scheduler_.setRegionShare(sender.id, *share, now), now);
         }
-    } else if (const auto share = Peers::decodeValue<Dispatch::WorldShare>(heartbeat.share)) {
+    } else if (const auto share = Peers::decodeValue<Dispatch::WorldShare>(heartbeat.loadReport)) {
         scheduler_.setWorldShare(sender.region, sender.id, *share, now);
     }
 }
@@ -234,8 +234,8 @@
 {
     roster_.setReady(ready());
     roster_.setStoreContact(store_.answerAge(now), store_.settled(now));
-    roster_.setShares(Peers::encodeValue(scheduler_.regionShare(now)),
-                      Peers::encodeValue(scheduler_.worldShare(now)));
+    roster_.setLoadReports(Peers::encodeValue(scheduler_.regionShare(now)),
+                           Peers::encodeValue(scheduler_.worldShare(now)));
     sendAll(roster_.tick(now));
     fleetChanged(now);
 }
--- a/Source/Core/Relay/RelayedCall.cpp
+++ b/Source/Core/Relay/RelayedCall.cpp
@@ -156,7 +156,7 @@
     endpoint_ = effect.endpoint;
     peer_ = Common::InstanceId();
     expected_ = effect.expected;
-    Dialect::EndpointOrder order;
+    Dialect::EndpointRequestMetadata order;
     order.requestId = plan_.head.requestId;
     order.deadline = timeLeft(now);
     order.endpoint = effect.endpoint;
@@ -246,7 +246,7 @@
 }
 
 /// A missing limit counts only in sealed answers, which come from the endpoint itself.
-void RelayedCall::recordLimit(const Dialect::AnswerFacts &facts, Common::Time now)
+void RelayedCall::recordLimit(const Dialect::EndpointResponseMetadata &facts, Common::Time now)
 {
     const bool conclusive = facts.limitPerSecond || facts.sealed;
     if (endpoint_.empty() || facts.wrongEndpoint || !conclusive) {
--- a/Source/Core/Relay/RelayedCall.h
+++ b/Source/Core/Relay/RelayedCall.h
@@ -20,7 +20,7 @@
 struct RelayPlan
 {
     Dispatch::CallFacts facts;
-    Dialect::CallerHead head;
+    Dialect::CallerMetadata head;
     /// Of the caller, without what concerns its connection alone.
     Common::Headers headers;
     std::string method;
@@ -87,7 +87,7 @@
     void startCall(OutboundRequest request, Common::Time now);
     bool takeHead(const AnswerHead &head);
     void readPeerState(const AnswerHead &head);
-    void recordLimit(const Dialect::AnswerFacts &facts, Common::Time now);
+    void recordLimit(const Dialect::EndpointResponseMetadata &facts, Common::Time now);
     void takeBody(const std::string &bytes);
     void passEvents(const std::string &events);
     void takeEnd();
--- a/Source/UnitTests/Fleet/StoreWatchTest.cpp
+++ b/Source/UnitTests/Fleet/StoreWatchTest.cpp
@@ -190,10 +190,10 @@
 TEST(StoreWatchTest, StoreDataIsAsRecentAsThatOfAPeerWithNoLaterRevision)
 {
     const auto others = makePeers(3, milliseconds(200));
-    const auto known = knowledgeAge(std::chrono::seconds(60), 10, others);
+    const auto known = storeDataAge(std::chrono::seconds(60), 10, others);
     ASSERT_TRUE(known.has_value());
     EXPECT_LT(*known, std::chrono::seconds(2));
-    EXPECT_EQ(knowledgeAge(std::chrono::seconds(60), 9, others), std::chrono::seconds(60));
+    EXPECT_EQ(storeDataAge(std::chrono::seconds(60), 9, others), std::chrono::seconds(60));
 }
 
 // All instances of a region start during a store outage, so that none has any store data. Guards
@@ -205,8 +205,8 @@
     for (auto &other : others) {
         other.record.storeAgeMs.reset();
     }
-    EXPECT_FALSE(knowledgeAge(std::nullopt, 10, others).has_value());
-    EXPECT_EQ(knowledgeAge(std::chrono::seconds(3), 10, others), std::chrono::seconds(3));
+    EXPECT_FALSE(storeDataAge(std::nullopt, 10, others).has_value());
+    EXPECT_EQ(storeDataAge(std::chrono::seconds(3), 10, others), std::chrono::seconds(3));
 }
 
 } // namespace LaburnumChute::Fleet
