--- a/Source/Core/Relay/RelayKnowledge.cpp
+++ b/Source/Core/Relay/RelayKnowledge.cpp
@@ -86,7 +86,7 @@
 
 std::optional<Common::Duration> RelayGateway::catalogAge(Common::Time now) const
 {
-    return Fleet::knowledgeAge(store_.answerAge(now), catalog_.items().upTo(), knownPeers_);
+    return Fleet::storeDataAge(store_.answerAge(now), catalog_.items().upTo(), knownPeers_);
 }
 
 bool RelayGateway::isCatalogFresh(Common::Time now) const
@@ -152,15 +152,15 @@
 {
     sendAll(roster_.receive(heartbeat, now));
     const auto &sender = heartbeat.self;
-    if (heartbeat.share.empty() || sender.id == settings_.instance) {
+    if (heartbeat.loadReport.empty() || sender.id == settings_.instance) {
         return;
     }
     if (sender.region == settings_.region) {
-        if (const auto share = Peers::decodeValue<Dispatch::RegionLoadReport>(heartbeat.share)) {
+        if (const auto share = Peers::decodeValue<Dispatch::RegionLoadReport>(heartbeat.loadReport)) {
             applyEffects(scheduler_.setRegionLoadReport(sender.id, *share, now), now);
         }
     } else if (const auto share =
-                   Peers::decodeValue<Dispatch::CrossRegionLoadReport>(heartbeat.share)) {
+                   Peers::decodeValue<Dispatch::CrossRegionLoadReport>(heartbeat.loadReport)) {
         scheduler_.setCrossRegionLoadReport(sender.region, sender.id, *share, now);
     }
 }
@@ -236,7 +236,7 @@
 {
     roster_.setReady(ready());
     roster_.setStoreContact(store_.answerAge(now), store_.settled(now));
-    roster_.setShares(Peers::encodeValue(scheduler_.regionLoadReport(now)),
+    roster_.setLoadReports(Peers::encodeValue(scheduler_.regionLoadReport(now)),
                       Peers::encodeValue(scheduler_.crossRegionLoadReport(now)));
     sendAll(roster_.tick(now));
     fleetChanged(now);
--- a/Source/Core/Relay/RelayedCall.h
+++ b/Source/Core/Relay/RelayedCall.h
@@ -20,7 +20,7 @@
 struct RelayPlan
 {
     Dispatch::CallFacts facts;
-    Dialect::CallerHead head;
+    Dialect::CallerMetadata head;
     /// Headers of the caller without the hop-by-hop ones.
     Common::Headers headers;
     std::string method;
@@ -87,7 +87,7 @@
     void startCall(OutboundRequest request, Common::Time now);
     bool handleHead(const ResponseHead &head);
     void readPeerState(const ResponseHead &head);
-    void recordLimit(const Dialect::AnswerFacts &facts, Common::Time now);
+    void recordLimit(const Dialect::EndpointResponseMetadata &facts, Common::Time now);
     void handleBody(const std::string &bytes);
     void passOnEvents(const std::string &events);
     void handleEnd();
