--- a/Source/Core/Readers/ConfigurationReader.cpp
+++ b/Source/Core/Readers/ConfigurationReader.cpp
@@ -8,34 +8,35 @@
 
 using nlohmann::json;
 
-/// What the answer may take beyond the wait that was asked for. A connection that has gone silent
-/// would otherwise be waited on for ever, and new versions would not be seen.
-constexpr Common::milliseconds AnswerMargin{2000};
+/// Added to the requested wait to get the client timeout. Without a timeout, a connection that has
+/// gone silent would block the reader for ever and hide new versions.
+constexpr Common::milliseconds LongPollMargin{2000};
 
 } // namespace
 
 asio::awaitable<Common::Result<std::optional<PublishedVersion>>>
 ConfigurationReader::read(Common::ConfigurationNumber after, Common::milliseconds wait) const
 {
-    HttpQuery query;
-    query.address = address_;
-    query.target = fmt::format("/v1/configuration?after={}&wait_ms={}", after, wait.count());
-    query.timeout = wait + AnswerMargin;
-    const auto answer = co_await fetch(std::move(query));
-    if (!answer) {
-        co_return tl::unexpected(answer.error());
+    HttpQuery request;
+    request.address = address_;
+    request.target = fmt::format("/v1/configuration?after={}&wait_ms={}", after, wait.count());
+    request.timeout = wait + LongPollMargin;
+    const auto response = co_await fetch(std::move(request));
+    if (!response) {
+        co_return tl::unexpected(response.error());
     }
-    if (answer->status == 304) {
+    if (response->status == 304) {
         co_return std::optional<PublishedVersion>();
     }
-    const auto document = json::parse(answer->body, nullptr, false);
-    const bool complete = answer->status == 200 && document.is_object()
-                          && document.contains("number") && document["number"].is_number_unsigned()
-                          && document.contains("content");
-    if (!complete) {
+    const auto document = json::parse(response->body, nullptr, false);
+    const bool isVersion = response->status == 200 && document.is_object()
+                           && document.contains("number") && document["number"].is_number_unsigned()
+                           && document.contains("content");
+    if (!isVersion) {
         co_return Common::makeError(
             Common::ErrorCode::ProtocolViolation,
-            fmt::format("the configuration service answered {} without a version", answer->status));
+            fmt::format("the configuration service responded with status {} and no version",
+                        response->status));
     }
     PublishedVersion version;
     version.number = document["number"].get<Common::ConfigurationNumber>();
--- a/Source/Core/Readers/ConfigurationReader.h
+++ b/Source/Core/Readers/ConfigurationReader.h
@@ -10,15 +10,15 @@
 
 namespace LaburnumChute::Readers {
 
-/// A version as the configuration service holds it.
+/// A configuration version as stored by the configuration service.
 struct PublishedVersion
 {
     Common::ConfigurationNumber number = 0;
-    /// JSON text.
+    /// JSON document.
     std::string content;
 };
 
-/// Reads the configuration service.
+/// Long-polls the configuration service for new versions.
 class ConfigurationReader
 {
 public:
@@ -27,8 +27,8 @@
     {
     }
 
-    /// The newest version above the number; nothing when the service has none within the wait. Each
-    /// call counts as one read at the service, however long it waits.
+    /// Returns the newest version with a number greater than `after`, or nullopt if none appears
+    /// within `wait`. The service counts each call as one read, regardless of the wait.
     asio::awaitable<Common::Result<std::optional<PublishedVersion>>>
     read(Common::ConfigurationNumber after, Common::milliseconds wait) const;
 
--- a/Source/Core/Readers/HttpClient.cpp
+++ b/Source/Core/Readers/HttpClient.cpp
@@ -18,73 +18,73 @@
 
 constexpr int HttpVersion = 11;
 
-http::request<http::string_body> makeMessage(const HttpQuery &query)
+http::request<http::string_body> makeMessage(const HttpQuery &request)
 {
-    http::request<http::string_body> message(http::string_to_verb(query.method), query.target,
+    http::request<http::string_body> message(http::string_to_verb(request.method), request.target,
                                              HttpVersion);
-    message.set(http::field::host, query.address);
+    message.set(http::field::host, request.address);
     message.set(http::field::connection, "close");
-    for (const auto &header : query.headers) {
+    for (const auto &header : request.headers) {
         message.insert(header.name, header.value);
     }
-    message.body() = query.body;
+    message.body() = request.body;
     message.prepare_payload();
     return message;
 }
 
-auto unavailable(const HttpQuery &query, const boost::system::error_code &error)
+auto requestError(const HttpQuery &request, const boost::system::error_code &error)
 {
     const auto code = error == http::error::body_limit ? Common::ErrorCode::TooLarge
                                                        : Common::ErrorCode::Unavailable;
-    return Common::makeError(code, query.address + query.target + ": " + error.message());
+    return Common::makeError(code, request.address + request.target + ": " + error.message());
 }
 
 } // namespace
 
-asio::awaitable<Common::Result<HttpAnswer>> fetch(HttpQuery query)
+asio::awaitable<Common::Result<HttpAnswer>> fetch(HttpQuery request)
 {
-    const auto endpoint = Async::parseTcpAddress(query.address);
-    if (!endpoint) {
-        co_return tl::unexpected(endpoint.error());
+    const auto destination = Async::parseTcpAddress(request.address);
+    if (!destination) {
+        co_return tl::unexpected(destination.error());
     }
-    if (endpoint->port() == 0) {
+    if (destination->port() == 0) {
         co_return Common::makeError(Common::ErrorCode::InvalidArgument,
-                                    "\"" + query.address + "\" has no port to connect to");
+                                    "\"" + request.address + "\" has no port to connect to");
     }
     beast::tcp_stream stream(co_await asio::this_coro::executor);
     boost::system::error_code error;
-    stream.expires_after(query.timeout);
-    co_await stream.async_connect(*endpoint, asio::redirect_error(asio::use_awaitable, error));
+    stream.expires_after(request.timeout);
+    co_await stream.async_connect(*destination, asio::redirect_error(asio::use_awaitable, error));
     if (error) {
-        co_return unavailable(query, error);
+        co_return requestError(request, error);
     }
-    const auto message = makeMessage(query);
+    const auto message = makeMessage(request);
     co_await http::async_write(stream, message, asio::redirect_error(asio::use_awaitable, error));
     if (error) {
-        co_return unavailable(query, error);
+        co_return requestError(request, error);
     }
     beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
-    parser.body_limit(query.bodyLimitBytes);
-    // The head is read apart: with one read for the whole answer Beast 1.74 was seen to let a body
-    // of a stated length pass its bound.
+    parser.body_limit(request.bodyLimitBytes);
+    // The header is read separately: when Beast 1.74 reads the whole response in one operation, a
+    // body with a Content-Length can exceed body_limit().
     co_await http::async_read_header(stream, buffer, parser,
                                      asio::redirect_error(asio::use_awaitable, error));
     if (error) {
-        co_return unavailable(query, error);
+        co_return requestError(request, error);
     }
     co_await http::async_read(stream, buffer, parser,
                               asio::redirect_error(asio::use_awaitable, error));
     if (error) {
-        co_return unavailable(query, error);
+        co_return requestError(request, error);
     }
-    HttpAnswer answer;
-    answer.status = parser.get().result_int();
+    HttpAnswer response;
+    response.status = parser.get().result_int();
     for (const auto &field : parser.get()) {
-        answer.headers.push_back({std::string(field.name_string()), std::string(field.value())});
+        response.headers.push_back({std::string(field.name_string()), std::string(field.value())});
     }
-    answer.body = std::move(parser.get().body());
-    co_return answer;
+    response.body = std::move(parser.get().body());
+    co_return response;
 }
 
 } // namespace LaburnumChute::Readers
--- a/Source/Core/Readers/HttpClient.h
+++ b/Source/Core/Readers/HttpClient.h
@@ -10,7 +10,7 @@
 
 namespace asio = boost::asio;
 
-/// One HTTP/1.1 request, sent on a connection of its own.
+/// An HTTP/1.1 request. Each request uses its own connection.
 struct HttpQuery
 {
     /// "ip:port".
@@ -19,7 +19,7 @@
     std::string target;
     Common::Headers headers;
     std::string body;
-    /// For the whole exchange, connecting included.
+    /// For the whole exchange, including the connection setup.
     Common::milliseconds timeout{2000};
     std::size_t bodyLimitBytes = 2 * 1024 * 1024;
 };
@@ -31,9 +31,9 @@
     std::string body;
 };
 
-/// Sends the query and reads the whole answer. Errors: InvalidArgument for an address that cannot
-/// be read, Unavailable for a connection that fails, breaks or is silent until the timeout,
-/// TooLarge.
-asio::awaitable<Common::Result<HttpAnswer>> fetch(HttpQuery query);
+/// Sends the request and reads the whole response. Errors: InvalidArgument if the address cannot be
+/// parsed, Unavailable if connecting fails, the connection breaks or the timeout expires, TooLarge
+/// if the body exceeds its limit.
+asio::awaitable<Common::Result<HttpAnswer>> fetch(HttpQuery request);
 
 } // namespace LaburnumChute::Readers
--- a/Source/Core/Readers/InstanceList.cpp
+++ b/Source/Core/Readers/InstanceList.cpp
@@ -11,134 +11,134 @@
 
 using nlohmann::json;
 
-auto invalid(const std::string &where, const std::string &expected)
+auto invalid(const std::string &path, const std::string &expected)
 {
     return Common::makeError(Common::ErrorCode::ProtocolViolation,
-                             "the instance list: " + where + ": expected " + expected);
+                             "the instance list: " + path + ": expected " + expected);
 }
 
-/// Reads the members of one entry and remembers the first that is not as expected.
+/// Reads the members of one entry and records the first invalid one.
 class EntryReader
 {
 public:
-    EntryReader(const json &entry, std::string at)
+    EntryReader(const json &entry, std::string path)
         : entry_(entry)
-        , at_(std::move(at))
+        , path_(std::move(path))
     {
         if (!entry_.is_object()) {
-            fault_ = Fault{at_, "an object"};
+            invalid_ = InvalidMember{path_, "an object"};
         }
     }
 
-    std::string text(const char *member)
+    std::string readString(const char *member)
     {
         const auto found = entry_.find(member);
         if (found == entry_.end() || !found->is_string()
             || found->get_ref<const std::string &>().empty()) {
-            report(member, "a text that is not empty");
+            reportInvalid(member, "a non-empty string");
             return {};
         }
         return found->get<std::string>();
     }
 
-    /// Whether the member is the first of two words; it must be one of them.
-    bool isFirst(const char *member, std::string_view first, std::string_view second)
+    /// Reads a member that must equal one of two strings. Returns whether it equals the first.
+    bool equalsFirst(const char *member, std::string_view first, std::string_view second)
     {
-        const auto value = text(member);
+        const auto value = readString(member);
         if (value != first && value != second) {
-            report(member, fmt::format("\"{}\" or \"{}\"", first, second));
+            reportInvalid(member, fmt::format("\"{}\" or \"{}\"", first, second));
         }
         return value == first;
     }
 
-    bool flag(const char *member)
+    bool readBool(const char *member)
     {
         const auto found = entry_.find(member);
         if (found == entry_.end()) {
             return false;
         }
         if (!found->is_boolean()) {
-            report(member, "true or false");
+            reportInvalid(member, "true or false");
             return false;
         }
         return found->get<bool>();
     }
 
-    void report(const char *member, std::string expected)
+    void reportInvalid(const char *member, std::string expected)
     {
-        if (!fault_) {
-            fault_ = Fault{at_ + "/" + member, std::move(expected)};
+        if (!invalid_) {
+            invalid_ = InvalidMember{path_ + "/" + member, std::move(expected)};
         }
     }
 
-    Common::Result<void> outcome() const
+    Common::Result<void> result() const
     {
-        if (fault_) {
-            return invalid(fault_->where, fault_->expected);
+        if (invalid_) {
+            return invalid(invalid_->path, invalid_->expected);
         }
         return {};
     }
 
 private:
-    struct Fault
+    struct InvalidMember
     {
-        std::string where;
+        std::string path;
         std::string expected;
     };
 
     const json &entry_;
-    std::string at_;
-    std::optional<Fault> fault_;
+    std::string path_;
+    std::optional<InvalidMember> invalid_;
 };
 
 ListedInstance readInstance(EntryReader &reader)
 {
     ListedInstance instance;
-    instance.id = Common::InstanceId(reader.text("id"));
-    instance.region = Common::RegionName(reader.text("region"));
-    instance.failureDomain = Common::FailureDomainName(reader.text("failure_domain"));
-    instance.http = reader.text("http");
-    instance.gossip = reader.text("gossip");
-    instance.channel = reader.text("channel");
-    instance.leaving = reader.isFirst("state", "leaving", "live");
+    instance.id = Common::InstanceId(reader.readString("id"));
+    instance.region = Common::RegionName(reader.readString("region"));
+    instance.failureDomain = Common::FailureDomainName(reader.readString("failure_domain"));
+    instance.http = reader.readString("http");
+    instance.gossip = reader.readString("gossip");
+    instance.channel = reader.readString("channel");
+    instance.leaving = reader.equalsFirst("state", "leaving", "live");
     return instance;
 }
 
 ListedEndpoint readEndpoint(EntryReader &reader)
 {
     ListedEndpoint endpoint;
-    endpoint.id = Common::EndpointId(reader.text("id"));
-    endpoint.kind =
-        reader.isFirst("kind", "service", "engine") ? EndpointKind::Service : EndpointKind::Engine;
-    endpoint.name = reader.text("name");
-    endpoint.region = Common::RegionName(reader.text("region"));
-    endpoint.failureDomain = Common::FailureDomainName(reader.text("failure_domain"));
-    endpoint.http = reader.text("http");
-    endpoint.leaving = reader.isFirst("state", "leaving", "live");
-    endpoint.checksFences = reader.flag("checks_fences");
+    endpoint.id = Common::EndpointId(reader.readString("id"));
+    endpoint.kind = reader.equalsFirst("kind", "service", "engine") ? EndpointKind::Service
+                                                                    : EndpointKind::Engine;
+    endpoint.name = reader.readString("name");
+    endpoint.region = Common::RegionName(reader.readString("region"));
+    endpoint.failureDomain = Common::FailureDomainName(reader.readString("failure_domain"));
+    endpoint.http = reader.readString("http");
+    endpoint.leaving = reader.equalsFirst("state", "leaving", "live");
+    endpoint.checksFences = reader.readBool("checks_fences");
     return endpoint;
 }
 
-/// Reads one of the two lists; each id may stand in it once.
+/// Parses one of the two arrays. Ids must be unique within an array.
 template <typename Entry>
 Common::Result<std::vector<Entry>> readEntries(const json &document, const char *member,
                                                Entry (*read)(EntryReader &))
 {
-    const auto list = document.find(member);
-    if (list == document.end() || !list->is_array()) {
-        return invalid(std::string("/") + member, "a list");
+    const auto array = document.find(member);
+    if (array == document.end() || !array->is_array()) {
+        return invalid(std::string("/") + member, "an array");
     }
     std::vector<Entry> entries;
-    entries.reserve(list->size());
+    entries.reserve(array->size());
     std::unordered_set<std::string> ids;
-    for (const auto &value : *list) {
+    for (const auto &value : *array) {
         EntryReader reader(value, fmt::format("/{}/{}", member, entries.size()));
         entries.push_back(read(reader));
         if (!ids.insert(entries.back().id.text()).second) {
-            reader.report("id", "each id once");
+            reader.reportInvalid("id", "a unique id");
         }
-        if (const auto outcome = reader.outcome(); !outcome) {
-            return tl::unexpected(outcome.error());
+        if (const auto result = reader.result(); !result) {
+            return tl::unexpected(result.error());
         }
     }
     return entries;
--- a/Source/Core/Readers/InstanceList.h
+++ b/Source/Core/Readers/InstanceList.h
@@ -8,7 +8,7 @@
 
 namespace LaburnumChute::Readers {
 
-/// An instance of the system's own, with the addresses at which the viewer reaches it.
+/// An instance of this system, with the addresses at which the viewer can reach it.
 struct ListedInstance
 {
     Common::InstanceId id;
@@ -26,27 +26,28 @@
 {
     Common::EndpointId id;
     EndpointKind kind = EndpointKind::Engine;
-    /// The model or the service.
+    /// Name of the model or service.
     std::string name;
     Common::RegionName region;
     Common::FailureDomainName failureDomain;
     std::string http;
     bool leaving = false;
-    /// Refuses orders with an old fencing number.
+    /// Rejects orders that carry an outdated fencing number.
     bool checksFences = false;
 };
 
-/// The platform's list as of some moment before now.
+/// A snapshot of the platform's instance list.
 struct InstanceList
 {
-    /// Milliseconds since 1970.
+    /// Time of the snapshot in milliseconds since the Unix epoch.
     std::uint64_t asOf = 0;
     std::vector<ListedInstance> instances;
     std::vector<ListedEndpoint> endpoints;
 };
 
-/// Reads the document of docs/PROTOCOLS.md, strictly: a list that is understood in part could drop
-/// endpoints that are well, or send new work to one that leaves. The error names the first fault.
+/// Parses the document described in docs/PROTOCOLS.md. Parsing is strict: accepting part of a list
+/// could drop healthy endpoints or send new requests to one that is leaving. The error names the
+/// first invalid member.
 Common::Result<InstanceList> parseInstanceList(std::string_view body);
 
 } // namespace LaburnumChute::Readers
--- a/Source/Core/Readers/InstanceListReader.cpp
+++ b/Source/Core/Readers/InstanceListReader.cpp
@@ -10,19 +10,20 @@
 
 asio::awaitable<Common::Result<InstanceList>> InstanceListReader::read() const
 {
-    HttpQuery query;
-    query.address = address_;
-    query.target = "/v1/instances?viewer=" + viewer_.text();
-    query.bodyLimitBytes = ListLimitBytes;
-    const auto answer = co_await fetch(std::move(query));
-    if (!answer) {
-        co_return tl::unexpected(answer.error());
+    HttpQuery request;
+    request.address = address_;
+    request.target = "/v1/instances?viewer=" + viewer_.text();
+    request.bodyLimitBytes = ListLimitBytes;
+    const auto response = co_await fetch(std::move(request));
+    if (!response) {
+        co_return tl::unexpected(response.error());
     }
-    if (answer->status != 200) {
-        co_return Common::makeError(Common::ErrorCode::Unavailable,
-                                    fmt::format("the instance list answered {}", answer->status));
+    if (response->status != 200) {
+        co_return Common::makeError(
+            Common::ErrorCode::Unavailable,
+            fmt::format("the instance list service responded with status {}", response->status));
     }
-    co_return parseInstanceList(answer->body);
+    co_return parseInstanceList(response->body);
 }
 
 } // namespace LaburnumChute::Readers
--- a/Source/Core/Readers/InstanceListReader.h
+++ b/Source/Core/Readers/InstanceListReader.h
@@ -10,7 +10,8 @@
 
 namespace LaburnumChute::Readers {
 
-/// Reads the instance list as one viewer.
+/// Reads the instance list from the viewpoint of one instance: the addresses in it are those at
+/// which the viewer can reach the others.
 class InstanceListReader
 {
 public:
--- a/Source/Core/Readers/Readers.h
+++ b/Source/Core/Readers/Readers.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Public header of the library Platform: readers of the platform's services, which this system only
-// ever reads. See docs/PROTOCOLS.md.
+// Public header of the library Readers: clients of the platform's services, all of them read-only.
+// See docs/PROTOCOLS.md.
 
 #include "Readers/ConfigurationReader.h"
 #include "Readers/HttpClient.h"
--- a/Source/Core/Readers/WeightStoreReader.cpp
+++ b/Source/Core/Readers/WeightStoreReader.cpp
@@ -10,8 +10,8 @@
 
 using nlohmann::json;
 
-/// A number above 0, else 0.
-double positive(const json &document, const char *member)
+/// The member's value if it is a positive number, otherwise 0.
+double positiveOrZero(const json &document, const char *member)
 {
     if (!document.is_object()) {
         return 0;
@@ -24,21 +24,22 @@
 
 asio::awaitable<Common::Result<WeightStoreLimits>> WeightStoreReader::readLimits() const
 {
-    HttpQuery query;
-    query.address = address_;
-    query.target = "/v1/limits";
-    const auto answer = co_await fetch(std::move(query));
-    if (!answer) {
-        co_return tl::unexpected(answer.error());
+    HttpQuery request;
+    request.address = address_;
+    request.target = "/v1/limits";
+    const auto response = co_await fetch(std::move(request));
+    if (!response) {
+        co_return tl::unexpected(response.error());
     }
-    const auto document = json::parse(answer->body, nullptr, false);
-    const WeightStoreLimits limits{positive(document, "loads_per_minute"),
-                                   positive(document, "megabits_per_second")};
-    if (answer->status != 200 || limits.loadsPerMinute == 0 || limits.megabitsPerSecond == 0) {
-        co_return Common::makeError(Common::ErrorCode::ProtocolViolation,
-                                    fmt::format("the weight store answered {}; expected "
-                                                "loads_per_minute and megabits_per_second above 0",
-                                                answer->status));
+    const auto document = json::parse(response->body, nullptr, false);
+    const WeightStoreLimits limits{positiveOrZero(document, "loads_per_minute"),
+                                   positiveOrZero(document, "megabits_per_second")};
+    if (response->status != 200 || limits.loadsPerMinute == 0 || limits.megabitsPerSecond == 0) {
+        co_return Common::makeError(
+            Common::ErrorCode::ProtocolViolation,
+            fmt::format("the weight store responded with status {}; expected "
+                        "loads_per_minute and megabits_per_second above 0",
+                        response->status));
     }
     co_return limits;
 }
--- a/Source/Core/Readers/WeightStoreReader.h
+++ b/Source/Core/Readers/WeightStoreReader.h
@@ -15,7 +15,7 @@
     double megabitsPerSecond = 0;
 };
 
-/// Reads what the weight store allows. The weights themselves are fetched by the engines.
+/// Reads the load limits of the weight store. Engines fetch the weights themselves.
 class WeightStoreReader
 {
 public:
--- a/Source/UnitTests/Readers/HttpClientTest.cpp
+++ b/Source/UnitTests/Readers/HttpClientTest.cpp
@@ -7,71 +7,71 @@
 
 namespace {
 
-using Then = OneShotServer::Then;
+using AfterResponse = OneShotServer::AfterResponse;
 
 Common::Result<HttpAnswer> get(const std::string &address)
 {
-    HttpQuery query;
-    query.address = address;
-    query.target = "/thing?a=1";
-    query.timeout = Common::milliseconds(300);
-    query.bodyLimitBytes = 100;
-    return runToEnd(fetch(query));
+    HttpQuery request;
+    request.address = address;
+    request.target = "/thing?a=1";
+    request.timeout = Common::milliseconds(300);
+    request.bodyLimitBytes = 100;
+    return runUntilComplete(fetch(request));
 }
 
-TEST(HttpClientTest, ReadsStatusAndBody)
+TEST(HttpClientTest, ReturnsStatusAndBody)
 {
-    OneShotServer server(httpAnswer("418 I'm a teapot", "short"), Then::Close);
-    const auto answer = get(server.address());
-    ASSERT_TRUE(answer) << answer.error().message;
-    EXPECT_EQ(answer->status, 418U);
-    EXPECT_EQ(answer->body, "short");
+    OneShotServer server(httpResponse("418 I'm a teapot", "short"), AfterResponse::Close);
+    const auto response = get(server.address());
+    ASSERT_TRUE(response) << response.error().message;
+    EXPECT_EQ(response->status, 418U);
+    EXPECT_EQ(response->body, "short");
     EXPECT_EQ(server.requestLine(), "GET /thing?a=1 HTTP/1.1");
 }
 
 TEST(HttpClientTest, ConnectionThatGoesSilentEndsWithTheTimeout)
 {
-    // Something between the two ends has lost track of the connection in the middle of an answer.
-    // Without a timeout the reader waits for ever and the instance sees no newer version.
+    // A middlebox between client and server drops its state for the connection in the middle of a
+    // response. Without a timeout the reader would wait for ever and miss new versions.
     for (const auto *part :
          {"", "HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab"}) {
-        OneShotServer server(part, Then::StaySilent);
-        const auto answer = get(server.address());
-        ASSERT_FALSE(answer);
-        EXPECT_EQ(answer.error().code, Common::ErrorCode::Unavailable);
+        OneShotServer server(part, AfterResponse::StaySilent);
+        const auto response = get(server.address());
+        ASSERT_FALSE(response);
+        EXPECT_EQ(response.error().code, Common::ErrorCode::Unavailable);
     }
 }
 
-TEST(HttpClientTest, TruncatedAndMalformedAnswersAreErrors)
+TEST(HttpClientTest, TruncatedAndMalformedResponsesAreErrors)
 {
     for (const auto *part :
          {"", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab", "garbage\r\n\r\n"}) {
-        OneShotServer server(part, Then::Close);
+        OneShotServer server(part, AfterResponse::Close);
         EXPECT_FALSE(get(server.address())) << part;
     }
 }
 
-TEST(HttpClientTest, BodyPastTheBoundIsTooLarge)
+TEST(HttpClientTest, BodyOverTheLimitIsTooLarge)
 {
     const std::string body(101, 'x');
     for (const auto &text :
-         {httpAnswer("200 OK", body), "HTTP/1.1 200 OK\r\n\r\n" + body,
+         {httpResponse("200 OK", body), "HTTP/1.1 200 OK\r\n\r\n" + body,
           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n65\r\n" + body + "\r\n0\r\n\r\n"}) {
-        OneShotServer server(text, Then::Close);
-        const auto answer = get(server.address());
-        ASSERT_FALSE(answer) << answer->body.size() << " bytes after " << text.substr(0, 40);
-        EXPECT_EQ(answer.error().code, Common::ErrorCode::TooLarge) << answer.error().message;
+        OneShotServer server(text, AfterResponse::Close);
+        const auto response = get(server.address());
+        ASSERT_FALSE(response) << response->body.size() << " bytes after " << text.substr(0, 40);
+        EXPECT_EQ(response.error().code, Common::ErrorCode::TooLarge) << response.error().message;
     }
 }
 
-TEST(HttpClientTest, AddressThatCannotBeReadIsNamed)
+TEST(HttpClientTest, ErrorNamesTheInvalidAddress)
 {
     for (const auto *address : {"", "nowhere", "127.0.0.1", "127.0.0.1:", ":80", "127.0.0.1:99999",
                                 "127.0.0.1:0", "127.0.0.1:8x", "localhost:80"}) {
-        const auto answer = get(address);
-        ASSERT_FALSE(answer) << address;
-        EXPECT_EQ(answer.error().code, Common::ErrorCode::InvalidArgument) << address;
-        EXPECT_NE(answer.error().message.find(address), std::string::npos);
+        const auto response = get(address);
+        ASSERT_FALSE(response) << address;
+        EXPECT_EQ(response.error().code, Common::ErrorCode::InvalidArgument) << address;
+        EXPECT_NE(response.error().message.find(address), std::string::npos);
     }
 }
 
--- a/Source/UnitTests/Readers/InstanceListTest.cpp
+++ b/Source/UnitTests/Readers/InstanceListTest.cpp
@@ -30,7 +30,7 @@
     return parsed ? std::string() : parsed.error().message;
 }
 
-TEST(InstanceListTest, ReadsInstancesAndEndpoints)
+TEST(InstanceListTest, ParsesInstancesAndEndpoints)
 {
     const auto list = parseInstanceList(validList().dump());
     ASSERT_TRUE(list) << list.error().message;
@@ -42,10 +42,11 @@
     EXPECT_TRUE(list->endpoints[0].checksFences);
 }
 
-TEST(InstanceListTest, WrongMembersAreNamedWithTheirPosition)
+TEST(InstanceListTest, ErrorContainsThePathOfTheInvalidMember)
 {
-    // A list that is half understood would make a gateway drop endpoints that are fine, or send new
-    // work to one that leaves. The whole list is refused and the one before stays in force.
+    // Accepting the valid part of a list could make a gateway drop healthy endpoints or send new
+    // requests to one that is leaving. The whole list is rejected and the previous one stays in
+    // use.
     EXPECT_NE(errorAfter("/as_of_ms", "now").find("/as_of_ms"), std::string::npos);
     EXPECT_NE(errorAfter("/instances/0/id", 7).find("/instances/0/id"), std::string::npos);
     EXPECT_NE(errorAfter("/instances/0/id", "").find("/instances/0/id"), std::string::npos);
@@ -59,7 +60,7 @@
     EXPECT_NE(errorAfter("/endpoints", json::object()).find("/endpoints"), std::string::npos);
 }
 
-TEST(InstanceListTest, EachIdStandsOnce)
+TEST(InstanceListTest, DuplicateIdsAreRejected)
 {
     auto list = validList();
     list["endpoints"].push_back(list["endpoints"][0]);
@@ -68,7 +69,7 @@
     EXPECT_NE(parsed.error().message.find("/endpoints/1/id"), std::string::npos);
 }
 
-TEST(InstanceListTest, BytesThatAreNoListAreErrors)
+TEST(InstanceListTest, MalformedDocumentsAreErrors)
 {
     for (const auto *text : {"", "{", "null", "[]", "{}", R"({"instances": [], "endpoints": 1})"}) {
         EXPECT_FALSE(parseInstanceList(text)) << text;
--- a/Source/UnitTests/Readers/OneShotServer.h
+++ b/Source/UnitTests/Readers/OneShotServer.h
@@ -14,17 +14,17 @@
 
 namespace LaburnumChute::Readers {
 
-/// Takes one connection, reads one request head, and writes the given bytes. It then either closes
-/// or keeps the connection open in silence until its own end.
+/// Accepts one connection, reads one request header and writes the given bytes. It then
+/// either closes the connection or keeps it open without sending until the client closes it.
 class OneShotServer
 {
 public:
-    enum class Then { Close, StaySilent };
+    enum class AfterResponse { Close, StaySilent };
 
-    OneShotServer(std::string answer, Then then)
+    OneShotServer(std::string response, AfterResponse afterResponse)
         : acceptor_(context_, {boost::asio::ip::make_address("127.0.0.1"), 0})
-        , answer_(std::move(answer))
-        , then_(then)
+        , response_(std::move(response))
+        , afterResponse_(afterResponse)
         , thread_([this] { serve(); })
     {
     }
@@ -39,7 +39,7 @@
     {
         return fmt::format("127.0.0.1:{}", acceptor_.local_endpoint().port());
     }
-    /// The first line of the request; to be read after the answer came.
+    /// The request line; valid once the response has been received.
     const std::string &requestLine() const
     {
         return requestLine_;
@@ -55,38 +55,39 @@
         boost::asio::read_until(socket, buffer, "\r\n\r\n", ignored);
         std::istream stream(&buffer);
         std::getline(stream, requestLine_, '\r');
-        boost::asio::write(socket, boost::asio::buffer(answer_), ignored);
-        if (then_ == Then::StaySilent) {
-            // Returns when the client gives up.
+        boost::asio::write(socket, boost::asio::buffer(response_), ignored);
+        if (afterResponse_ == AfterResponse::StaySilent) {
+            // Returns when the client closes the connection.
             boost::asio::read_until(socket, buffer, "never", ignored);
         }
     }
 
     boost::asio::io_context context_;
     boost::asio::ip::tcp::acceptor acceptor_;
-    std::string answer_;
-    Then then_;
+    std::string response_;
+    AfterResponse afterResponse_;
     std::string requestLine_;
     std::thread thread_;
 };
 
-inline std::string httpAnswer(const std::string &status, const std::string &body)
+inline std::string httpResponse(const std::string &status, const std::string &body)
 {
     return fmt::format("HTTP/1.1 {}\r\nContent-Length: {}\r\n\r\n{}", status, body.size(), body);
 }
 
-/// Runs a coroutine to its end on a loop of its own.
+/// Runs a coroutine to completion on its own io_context.
 template <typename T>
-T runToEnd(boost::asio::awaitable<T> work)
+T runUntilComplete(boost::asio::awaitable<T> coroutine)
 {
     boost::asio::io_context context(1);
     std::optional<T> result;
-    boost::asio::co_spawn(context, std::move(work), [&](const std::exception_ptr &error, T value) {
-        if (error) {
-            std::rethrow_exception(error);
-        }
-        result = std::move(value);
-    });
+    boost::asio::co_spawn(context, std::move(coroutine),
+                          [&](const std::exception_ptr &error, T value) {
+                              if (error) {
+                                  std::rethrow_exception(error);
+                              }
+                              result = std::move(value);
+                          });
     context.run();
     return std::move(*result);
 }
--- a/Source/UnitTests/Readers/ReadersTest.cpp
+++ b/Source/UnitTests/Readers/ReadersTest.cpp
@@ -7,63 +7,64 @@
 
 namespace {
 
-using Then = OneShotServer::Then;
+using AfterResponse = OneShotServer::AfterResponse;
 
-Common::Result<std::optional<PublishedVersion>> readVersion(const std::string &answer)
+Common::Result<std::optional<PublishedVersion>> readVersion(const std::string &response)
 {
-    OneShotServer server(answer, Then::Close);
+    OneShotServer server(response, AfterResponse::Close);
     const ConfigurationReader reader(server.address());
-    return runToEnd(reader.read(6, Common::milliseconds(10)));
+    return runUntilComplete(reader.read(6, Common::milliseconds(10)));
 }
 
-TEST(ReadersTest, ConfigurationReaderAsksForWhatComesAfter)
+TEST(ReadersTest, ConfigurationReaderRequestsVersionsAfterTheGivenNumber)
 {
-    OneShotServer server(httpAnswer("200 OK", R"({"number": 7, "content": {"schema": 1}})"),
-                         Then::Close);
+    OneShotServer server(httpResponse("200 OK", R"({"number": 7, "content": {"schema": 1}})"),
+                         AfterResponse::Close);
     const ConfigurationReader reader(server.address());
-    const auto version = runToEnd(reader.read(6, Common::milliseconds(10)));
+    const auto version = runUntilComplete(reader.read(6, Common::milliseconds(10)));
     ASSERT_TRUE(version && *version);
     EXPECT_EQ((*version)->number, 7U);
     EXPECT_EQ((*version)->content, R"({"schema":1})");
     EXPECT_EQ(server.requestLine(), "GET /v1/configuration?after=6&wait_ms=10 HTTP/1.1");
 }
 
-TEST(ReadersTest, NothingNewerIsAnEmptyValue)
+TEST(ReadersTest, NotModifiedIsAnEmptyResult)
 {
     const auto version = readVersion("HTTP/1.1 304 Not Modified\r\n\r\n");
     ASSERT_TRUE(version);
     EXPECT_FALSE(*version);
 }
 
-TEST(ReadersTest, AnswersWithoutAVersionAreErrors)
+TEST(ReadersTest, ResponsesWithoutAVersionAreErrors)
 {
     for (const auto *body : {"", "[]", "{}", R"({"number": 7})", R"({"number": -7, "content": 1})",
                              R"({"number": "7", "content": 1})"}) {
-        EXPECT_FALSE(readVersion(httpAnswer("200 OK", body))) << body;
+        EXPECT_FALSE(readVersion(httpResponse("200 OK", body))) << body;
     }
-    EXPECT_FALSE(readVersion(httpAnswer("500 Oh", R"({"number": 7, "content": {}})")));
+    EXPECT_FALSE(readVersion(httpResponse("500 Oh", R"({"number": 7, "content": {}})")));
 }
 
-TEST(ReadersTest, WeightStoreLimitsAreRead)
+TEST(ReadersTest, ParsesWeightStoreLimits)
 {
     OneShotServer server(
-        httpAnswer("200 OK", R"({"loads_per_minute": 6, "megabits_per_second": 140})"),
-        Then::Close);
-    const auto limits = runToEnd(WeightStoreReader(server.address()).readLimits());
+        httpResponse("200 OK", R"({"loads_per_minute": 6, "megabits_per_second": 140})"),
+        AfterResponse::Close);
+    const auto limits = runUntilComplete(WeightStoreReader(server.address()).readLimits());
     ASSERT_TRUE(limits);
     EXPECT_EQ(limits->loadsPerMinute, 6);
     EXPECT_EQ(limits->megabitsPerSecond, 140);
 }
 
-TEST(ReadersTest, WeightStoreLimitsThatMakeNoSenseAreErrors)
+TEST(ReadersTest, InvalidWeightStoreLimitsAreErrors)
 {
-    // A limit of zero or below would stop all loads for good, or divide by zero in the pacing.
+    // A limit of zero or less would block all weight loads for good or divide by zero in the
+    // pacing.
     for (const auto *body :
          {"[]", "{}", R"({"loads_per_minute": 0, "megabits_per_second": 140})",
           R"({"loads_per_minute": "6", "megabits_per_second": 140})", R"({"loads_per_minute": 6})",
           R"({"loads_per_minute": 6, "megabits_per_second": -1})"}) {
-        OneShotServer server(httpAnswer("200 OK", body), Then::Close);
-        EXPECT_FALSE(runToEnd(WeightStoreReader(server.address()).readLimits())) << body;
+        OneShotServer server(httpResponse("200 OK", body), AfterResponse::Close);
+        EXPECT_FALSE(runUntilComplete(WeightStoreReader(server.address()).readLimits())) << body;
     }
 }
 
