--- a/Source/Core/Entry/CallerRequest.cpp
+++ b/Source/Core/Entry/CallerRequest.cpp
@@ -11,11 +11,11 @@
 using nlohmann::json;
 
 constexpr std::string_view BearerPrefix = "Bearer ";
-constexpr std::int64_t HighestDeadlineMs = 24LL * 3600 * 1000;
+constexpr std::int64_t MaxDeadlineMs = 24LL * 3600 * 1000;
 constexpr std::uint32_t DefaultMaxTokens = 256;
-constexpr std::int64_t HighestMaxTokens = 1 << 20;
+constexpr std::int64_t MaxTokensLimit = 1 << 20;
 
-std::optional<std::string> text(const Common::Headers &headers, std::string_view name)
+std::optional<std::string> headerText(const Common::Headers &headers, std::string_view name)
 {
     const auto *value = Common::findHeader(headers, name);
     return value == nullptr ? std::nullopt : std::optional<std::string>(*value);
@@ -28,9 +28,9 @@
         fmt::format("{}: the value \"{}\" is not valid; expected {}", name, value, expected));
 }
 
-Common::Result<std::optional<bool>> flag(const Common::Headers &headers, std::string_view name)
+Common::Result<std::optional<bool>> parseFlag(const Common::Headers &headers, std::string_view name)
 {
-    const auto value = text(headers, name);
+    const auto value = headerText(headers, name);
     if (!value) {
         return std::optional<bool>();
     }
@@ -40,23 +40,24 @@
     return std::optional<bool>(*value == "true");
 }
 
-Common::Result<std::optional<Common::milliseconds>> deadline(const Common::Headers &headers)
+Common::Result<std::optional<Common::milliseconds>> parseDeadline(const Common::Headers &headers)
 {
     constexpr std::string_view Name = "Laburnumchute-Deadline-Ms";
-    const auto value = text(headers, Name);
+    const auto value = headerText(headers, Name);
     if (!value) {
         return std::optional<Common::milliseconds>();
     }
     std::int64_t number = 0;
     const auto *end = value->data() + value->size();
     const auto parsed = std::from_chars(value->data(), end, number);
-    if (parsed.ec != std::errc() || parsed.ptr != end || number < 1 || number > HighestDeadlineMs) {
+    if (parsed.ec != std::errc() || parsed.ptr != end || number < 1 || number > MaxDeadlineMs) {
         return invalid(Name, *value, "whole milliseconds from 1 to 86400000");
     }
     return std::optional<Common::milliseconds>(number);
 }
 
-/// The text of a message's content: a string, or the text parts of a list.
+/// The text of a message's content, which is a string or an array of parts. Parts without text are
+/// ignored.
 Common::Result<std::string> contentText(const json &content)
 {
     if (content.is_string()) {
@@ -78,7 +79,7 @@
     return joined;
 }
 
-Common::Result<std::string> chatText(const json &body)
+Common::Result<std::string> chatPrompt(const json &body)
 {
     const auto messages = body.find("messages");
     if (messages == body.end() || !messages->is_array() || messages->empty()) {
@@ -99,7 +100,7 @@
     return prompt;
 }
 
-Common::Result<std::string> completionText(const json &body)
+Common::Result<std::string> completionPrompt(const json &body)
 {
     const auto prompt = body.find("prompt");
     if (prompt != body.end() && prompt->is_string()) {
@@ -118,16 +119,16 @@
     return joined;
 }
 
-Common::Result<std::uint32_t> maxTokens(const json &body)
+Common::Result<std::uint32_t> parseMaxTokens(const json &body)
 {
     for (const auto *name : {"max_completion_tokens", "max_tokens"}) {
         const auto found = body.find(name);
         if (found == body.end() || found->is_null()) {
             continue;
         }
-        const bool whole = found->is_number_integer();
-        if (!whole || found->get<std::int64_t>() < 1
-            || found->get<std::int64_t>() > HighestMaxTokens) {
+        const bool isInteger = found->is_number_integer();
+        if (!isInteger || found->get<std::int64_t>() < 1
+            || found->get<std::int64_t>() > MaxTokensLimit) {
             return invalid(std::string("/") + name, found->dump(), "a whole number above 0");
         }
         return found->get<std::uint32_t>();
@@ -140,34 +141,34 @@
 Common::Result<CallerHeaders> parseCallerHeaders(const Common::Headers &headers)
 {
     CallerHeaders result;
-    const auto authorization = text(headers, "Authorization");
+    const auto authorization = headerText(headers, "Authorization");
     if (authorization && authorization->rfind(BearerPrefix, 0) == 0) {
         result.bearerToken = authorization->substr(BearerPrefix.size());
     }
-    if (const auto name = text(headers, "Laburnumchute-Customer")) {
+    if (const auto name = headerText(headers, "Laburnumchute-Customer")) {
         result.customer = Common::CustomerName(*name);
     }
-    if (const auto id = text(headers, "Laburnumchute-Supersedes")) {
+    if (const auto id = headerText(headers, "Laburnumchute-Supersedes")) {
         result.supersedes = Common::RequestId(*id);
     }
-    if (const auto region = text(headers, "Laburnumchute-Home-Region")) {
+    if (const auto region = headerText(headers, "Laburnumchute-Home-Region")) {
         result.homeRegion = Common::RegionName(*region);
     }
-    result.priority = text(headers, "Laburnumchute-Priority");
-    result.residency = text(headers, "Laburnumchute-Residency");
-    result.conversation = text(headers, "Laburnumchute-Conversation");
-    result.idempotencyKey = text(headers, "Idempotency-Key");
-    const auto time = deadline(headers);
+    result.priority = headerText(headers, "Laburnumchute-Priority");
+    result.residency = headerText(headers, "Laburnumchute-Residency");
+    result.conversation = headerText(headers, "Laburnumchute-Conversation");
+    result.idempotencyKey = headerText(headers, "Idempotency-Key");
+    const auto time = parseDeadline(headers);
     if (!time) {
         return tl::unexpected(time.error());
     }
     result.deadline = *time;
-    const auto repeatable = flag(headers, "Laburnumchute-Repeatable");
+    const auto repeatable = parseFlag(headers, "Laburnumchute-Repeatable");
     if (!repeatable) {
         return tl::unexpected(repeatable.error());
     }
     result.repeatable = *repeatable;
-    const auto duplicate = flag(headers, "Laburnumchute-Allow-Duplicate");
+    const auto duplicate = parseFlag(headers, "Laburnumchute-Allow-Duplicate");
     if (!duplicate) {
         return tl::unexpected(duplicate.error());
     }
@@ -198,13 +199,13 @@
         return invalid("/stream", stream->dump(), "true or false");
     }
     call.stream = stream != document.end() && stream->is_boolean() && stream->get<bool>();
-    const auto tokens = maxTokens(document);
+    const auto tokens = parseMaxTokens(document);
     if (!tokens) {
         return tl::unexpected(tokens.error());
     }
     call.maxTokens = *tokens;
     auto prompt =
-        kind == ModelCallKind::ChatCompletion ? chatText(document) : completionText(document);
+        kind == ModelCallKind::ChatCompletion ? chatPrompt(document) : completionPrompt(document);
     if (!prompt) {
         return tl::unexpected(prompt.error());
     }
@@ -217,7 +218,7 @@
     auto document = json::parse(body, nullptr, false);
     const auto stream = document.find("stream");
     if (stream == document.end() || *stream != true) {
-        // A whole answer carries its usage, which engines put into a stream only when asked.
+        // Non-streamed responses include the usage, which engines add to a stream only on request.
         document["stream_options"] = {{"include_usage", true}};
     }
     document["stream"] = true;
--- a/Source/Core/Entry/Entry.h
+++ b/Source/Core/Entry/Entry.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Public header of the library Entry: the HTTP server towards callers and operators, the typed form
-// of what callers send, and the problem documents they are answered with.
+// Public header of the library Entry: the HTTP server for callers and operators, the parsed form of
+// caller requests, and the problem documents sent in error responses.
 
 #include "Entry/CallerRequest.h"
 #include "Entry/Exchange.h"
--- a/Source/Core/Entry/Exchange.cpp
+++ b/Source/Core/Entry/Exchange.cpp
@@ -21,13 +21,14 @@
 
 constexpr int HttpVersion = 11;
 constexpr std::size_t RequestIdLimit = 128;
-/// How often a connection with a further request already waiting is looked at for its end.
-constexpr Common::milliseconds HangUpInterval{100};
+/// Interval for checking a connection for a disconnect while unread data, such as a pipelined
+/// request, prevents waiting for readability.
+constexpr Common::milliseconds DisconnectPollInterval{100};
 
-bool isRequestIdLetter(char letter)
+bool isRequestIdCharacter(char character)
 {
-    return std::isalnum(static_cast<unsigned char>(letter)) != 0 || letter == '-' || letter == '_'
-           || letter == '.';
+    return std::isalnum(static_cast<unsigned char>(character)) != 0 || character == '-'
+           || character == '_' || character == '.';
 }
 
 std::string randomId()
@@ -36,20 +37,20 @@
     return fmt::format("{:016x}{:08x}", generator(), static_cast<std::uint32_t>(generator()));
 }
 
-/// The caller's own id where it is fit for a URL path, else a new one.
-Common::RequestId chooseId(const Common::Headers &headers)
+/// The caller's request id if it is safe to use in a URL path, otherwise a new one.
+Common::RequestId chooseRequestId(const Common::Headers &headers)
 {
-    const auto *given = Common::findHeader(headers, "X-Request-Id");
-    if (given != nullptr && !given->empty() && given->size() <= RequestIdLimit
-        && std::all_of(given->begin(), given->end(), &isRequestIdLetter)) {
-        return Common::RequestId(*given);
+    const auto *callerId = Common::findHeader(headers, "X-Request-Id");
+    if (callerId != nullptr && !callerId->empty() && callerId->size() <= RequestIdLimit
+        && std::all_of(callerId->begin(), callerId->end(), &isRequestIdCharacter)) {
+        return Common::RequestId(*callerId);
     }
     return Common::RequestId(randomId());
 }
 
-enum class Peek { Closed, Data, Nothing };
+enum class PeekResult { Closed, Data, Nothing };
 
-Peek peek(asio::ip::tcp::socket &socket)
+PeekResult peek(asio::ip::tcp::socket &socket)
 {
     boost::system::error_code error;
     socket.non_blocking(true, error);
@@ -57,28 +58,29 @@
     const auto size =
         socket.receive(asio::buffer(&byte, 1), asio::socket_base::message_peek, error);
     if (error == asio::error::would_block) {
-        return Peek::Nothing;
+        return PeekResult::Nothing;
     }
-    return error || size == 0 ? Peek::Closed : Peek::Data;
+    return error || size == 0 ? PeekResult::Closed : PeekResult::Data;
 }
 
-bool hungUp(asio::ip::tcp::socket &socket)
+bool closedByCaller(asio::ip::tcp::socket &socket)
 {
-    pollfd entry{socket.native_handle(), POLLRDHUP, 0};
-    return ::poll(&entry, 1, 0) > 0 && (entry.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+    pollfd descriptor{socket.native_handle(), POLLRDHUP, 0};
+    return ::poll(&descriptor, 1, 0) > 0
+           && (descriptor.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
 } // namespace
 
-struct Exchange::WatchState
+struct Exchange::DisconnectWatch
 {
-    WatchState(Exchange *watched, asio::ip::tcp::socket &watchedSocket)
+    DisconnectWatch(Exchange *watched, asio::ip::tcp::socket &watchedSocket)
         : exchange(watched)
         , socket(watchedSocket)
     {
     }
 
-    /// Null once the exchange has ended.
+    /// Null once the watch has been stopped.
     Exchange *exchange;
     asio::ip::tcp::socket &socket;
 };
@@ -87,7 +89,7 @@
     : stream_(stream)
     , request_(std::move(request))
     , options_(options)
-    , id_(chooseId(request_.headers))
+    , id_(chooseRequestId(request_.headers))
 {
 }
 
@@ -98,8 +100,8 @@
 
 void Exchange::watch()
 {
-    watch_ = std::make_shared<WatchState>(this, stream_.socket());
-    asio::co_spawn(stream_.get_executor(), runWatch(watch_), asio::detached);
+    watch_ = std::make_shared<DisconnectWatch>(this, stream_.socket());
+    asio::co_spawn(stream_.get_executor(), waitForDisconnect(watch_), asio::detached);
 }
 
 void Exchange::stopWatching()
@@ -113,19 +115,20 @@
     stream_.socket().cancel(ignored);
 }
 
-asio::awaitable<void> Exchange::runWatch(std::shared_ptr<WatchState> state)
+asio::awaitable<void> Exchange::waitForDisconnect(std::shared_ptr<DisconnectWatch> state)
 {
     boost::system::error_code error;
     co_await state->socket.async_wait(asio::socket_base::wait_read,
                                       asio::redirect_error(asio::use_awaitable, error));
-    // From here on the socket may be gone when the exchange is.
+    // From here on the socket may be destroyed with the exchange; it is valid only while `exchange`
+    // is set.
     while (state->exchange != nullptr) {
-        const auto seen = error ? Peek::Closed : peek(state->socket);
-        if (seen == Peek::Closed || hungUp(state->socket)) {
+        const auto peeked = error ? PeekResult::Closed : peek(state->socket);
+        if (peeked == PeekResult::Closed || closedByCaller(state->socket)) {
             state->exchange->markGone();
             co_return;
         }
-        co_await Async::sleepFor(HangUpInterval);
+        co_await Async::sleepFor(DisconnectPollInterval);
     }
 }
 
@@ -140,7 +143,7 @@
     }
 }
 
-bool Exchange::check(const boost::system::error_code &error)
+bool Exchange::recordWriteResult(const boost::system::error_code &error)
 {
     if (error) {
         markGone();
@@ -151,22 +154,22 @@
 asio::awaitable<bool> Exchange::sendWhole(unsigned status, Common::Headers headers,
                                           std::string body)
 {
-    http::response<http::string_body> answer;
-    answer.version(HttpVersion);
-    answer.result(status);
+    http::response<http::string_body> response;
+    response.version(HttpVersion);
+    response.result(status);
     for (const auto &header : headers) {
-        answer.insert(header.name, header.value);
+        response.insert(header.name, header.value);
     }
-    answer.set("X-Request-Id", id_.text());
-    answer.keep_alive(options_.keepAlive);
-    answer.body() = std::move(body);
-    answer.prepare_payload();
+    response.set("X-Request-Id", id_.text());
+    response.keep_alive(options_.keepAlive);
+    response.body() = std::move(body);
+    response.prepare_payload();
     started_ = true;
     boost::system::error_code error;
     stream_.expires_after(options_.writeTimeout);
-    co_await http::async_write(stream_, answer, asio::redirect_error(asio::use_awaitable, error));
+    co_await http::async_write(stream_, response, asio::redirect_error(asio::use_awaitable, error));
     complete_ = !error;
-    co_return check(error);
+    co_return recordWriteResult(error);
 }
 
 asio::awaitable<bool> Exchange::sendProblem(Problem problem)
@@ -176,8 +179,8 @@
         headers.push_back({"Retry-After", std::to_string(retryAfterSeconds(*problem.retryAfter))});
     }
     if (problem.run != Common::RunState::NotRun) {
-        // Client libraries resend on most errors by themselves; this header, which OpenAI's obey,
-        // keeps them from it where a second run may result.
+        // Client libraries retry automatically on most errors. This header, which OpenAI's
+        // libraries honour, prevents a retry that could run the request twice.
         headers.push_back({"X-Should-Retry", "false"});
     }
     auto body = problemBody(problem, id_);
@@ -185,7 +188,7 @@
         co_return co_await sendWhole(problem.status, std::move(headers), std::move(body));
     }
     const bool sent = co_await sendPiece("event: error\ndata: " + body + "\n\n");
-    closeAfterwards();
+    closeAfterResponse();
     if (!sent) {
         co_return false;
     }
@@ -194,58 +197,59 @@
 
 asio::awaitable<bool> Exchange::startBody(unsigned status, Common::Headers headers)
 {
-    http::response<http::empty_body> answer;
-    answer.version(HttpVersion);
-    answer.result(status);
+    http::response<http::empty_body> response;
+    response.version(HttpVersion);
+    response.result(status);
     for (const auto &header : headers) {
-        answer.insert(header.name, header.value);
+        response.insert(header.name, header.value);
     }
-    answer.set("X-Request-Id", id_.text());
+    response.set("X-Request-Id", id_.text());
     if (!options_.chunked) {
-        closeAfterwards();
+        closeAfterResponse();
     }
-    answer.keep_alive(options_.keepAlive);
-    answer.chunked(options_.chunked);
+    response.keep_alive(options_.keepAlive);
+    response.chunked(options_.chunked);
     started_ = true;
     std::ostringstream head;
-    head << answer.base();
-    pendingHead_ = head.str();
+    head << response.base();
+    pendingHeader_ = head.str();
     co_return !gone_;
 }
 
 asio::awaitable<bool> Exchange::sendPiece(std::string_view bytes)
 {
-    const auto head = std::exchange(pendingHead_, {});
-    const asio::const_buffer headBuffer(head.data(), head.size());
+    const auto head = std::exchange(pendingHeader_, {});
+    const asio::const_buffer headerBuffer(head.data(), head.size());
     const asio::const_buffer buffer(bytes.data(), bytes.size());
     boost::system::error_code error;
     stream_.expires_after(options_.writeTimeout);
     if (options_.chunked) {
         co_await asio::async_write(stream_,
-                                   beast::buffers_cat(headBuffer, http::make_chunk(buffer)),
+                                   beast::buffers_cat(headerBuffer, http::make_chunk(buffer)),
                                    asio::redirect_error(asio::use_awaitable, error));
     } else {
-        co_await asio::async_write(stream_, beast::buffers_cat(headBuffer, buffer),
+        co_await asio::async_write(stream_, beast::buffers_cat(headerBuffer, buffer),
                                    asio::redirect_error(asio::use_awaitable, error));
     }
-    co_return check(error);
+    co_return recordWriteResult(error);
 }
 
 asio::awaitable<bool> Exchange::endBody()
 {
-    const auto head = std::exchange(pendingHead_, {});
-    const asio::const_buffer headBuffer(head.data(), head.size());
+    const auto head = std::exchange(pendingHeader_, {});
+    const asio::const_buffer headerBuffer(head.data(), head.size());
     boost::system::error_code error;
     stream_.expires_after(options_.writeTimeout);
     if (options_.chunked) {
-        co_await asio::async_write(stream_, beast::buffers_cat(headBuffer, http::make_chunk_last()),
+        co_await asio::async_write(stream_,
+                                   beast::buffers_cat(headerBuffer, http::make_chunk_last()),
                                    asio::redirect_error(asio::use_awaitable, error));
     } else {
-        co_await asio::async_write(stream_, headBuffer,
+        co_await asio::async_write(stream_, headerBuffer,
                                    asio::redirect_error(asio::use_awaitable, error));
     }
     complete_ = !error;
-    co_return check(error);
+    co_return recordWriteResult(error);
 }
 
 } // namespace LaburnumChute::Entry
--- a/Source/Core/Entry/Exchange.h
+++ b/Source/Core/Entry/Exchange.h
@@ -18,26 +18,28 @@
 namespace asio = boost::asio;
 namespace beast = boost::beast;
 
-/// A caller's request as read from the connection.
+/// An HTTP request received from a caller.
 struct HttpRequest
 {
     std::string method;
-    /// Path and query.
+    /// Path and query string.
     std::string target;
     Common::Headers headers;
     std::string body;
 };
 
-/// One request of a caller and the way back to it. Lives on one thread.
+/// A caller's request and the connection for its response. All functions must run on the
+/// connection's thread.
 class Exchange
 {
 public:
     struct Options
     {
-        /// A caller that takes no byte for so long is given up.
+        /// Time limit for each write. A caller that does not read fast enough counts as
+        /// disconnected.
         Common::milliseconds writeTimeout{30000};
         bool keepAlive = true;
-        /// False for HTTP/1.0, which knows no chunks.
+        /// False for HTTP/1.0, which has no chunked transfer encoding.
         bool chunked = true;
     };
 
@@ -55,11 +57,11 @@
         return id_;
     }
 
-    /// Starts watching for the caller to close the connection.
+    /// Starts watching for a disconnect of the caller.
     void watch();
-    /// Ends the watch, so that the next request can be read.
+    /// Stops watching, so that the next request can be read from the connection.
     void stopWatching();
-    /// Called once, when the caller has left.
+    /// Sets a callback that is called once, when the caller disconnects.
     void onGone(std::function<void()> callback)
     {
         onGone_ = std::move(callback);
@@ -69,48 +71,50 @@
         return gone_;
     }
 
-    /// All of an answer at once. False when the caller has left; so for all that send.
+    /// Sends a complete response. Like all send functions, returns false if the caller has
+    /// disconnected.
     asio::awaitable<bool> sendWhole(unsigned status, Common::Headers headers, std::string body);
     asio::awaitable<bool> sendProblem(Problem problem);
-    /// The head leaves with the first piece or the end.
+    /// Starts a streamed response. The header is sent together with the first chunk or the end.
     asio::awaitable<bool> startBody(unsigned status, Common::Headers headers);
     asio::awaitable<bool> sendPiece(std::string_view bytes);
     asio::awaitable<bool> endBody();
 
-    /// True once the head of the answer has been sent.
+    /// True once a response has been started.
     bool started() const
     {
         return started_;
     }
-    /// True when the connection can carry another request.
+    /// True if the connection can be used for another request.
     bool reusable() const
     {
         return options_.keepAlive && complete_ && !gone_;
     }
-    /// Makes the answer close the connection.
-    void closeAfterwards()
+    /// Closes the connection after the response.
+    void closeAfterResponse()
     {
         options_.keepAlive = false;
     }
 
 private:
-    struct WatchState;
+    struct DisconnectWatch;
 
-    static asio::awaitable<void> runWatch(std::shared_ptr<WatchState> state);
+    static asio::awaitable<void> waitForDisconnect(std::shared_ptr<DisconnectWatch> state);
     void markGone();
-    bool check(const boost::system::error_code &error);
+    bool recordWriteResult(const boost::system::error_code &error);
 
     beast::tcp_stream &stream_;
     HttpRequest request_;
     Options options_;
     Common::RequestId id_;
     std::function<void()> onGone_;
-    std::shared_ptr<WatchState> watch_;
+    std::shared_ptr<DisconnectWatch> watch_;
     bool gone_ = false;
     bool started_ = false;
     bool complete_ = false;
-    /// The head of a body under way, kept until its first piece so that both leave in one write.
-    std::string pendingHead_;
+    /// The header of a streamed response, kept until the first chunk so that both are sent in one
+    /// write.
+    std::string pendingHeader_;
 };
 
 } // namespace LaburnumChute::Entry
--- a/Source/Core/Entry/HttpServer.cpp
+++ b/Source/Core/Entry/HttpServer.cpp
@@ -15,32 +15,32 @@
 namespace http = beast::http;
 using asio::ip::tcp;
 
-/// Bytes of an answer that wait in the kernel for a slow caller, a few hundred tokens. A caller 100
-/// ms away still gets 300 KB/s, thirty times a fast stream.
-constexpr int CallerSendBuffer = 32 * 1024;
-constexpr Common::milliseconds AcceptPause{50};
-constexpr std::string_view Continue = "HTTP/1.1 100 Continue\r\n\r\n";
+/// Limits the response bytes queued in the kernel for a slow caller to a few hundred tokens. At a
+/// round-trip time of 100 ms this still allows 300 KB/s, thirty times the rate of a fast stream.
+constexpr int CallerSendBufferBytes = 32 * 1024;
+constexpr Common::milliseconds AcceptRetryDelay{50};
+constexpr std::string_view ContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
 
-class CountGuard
+class ScopedCounter
 {
 public:
-    explicit CountGuard(std::atomic<std::int64_t> &count)
+    explicit ScopedCounter(std::atomic<std::int64_t> &count)
         : count_(count)
     {
         ++count_;
     }
-    ~CountGuard()
+    ~ScopedCounter()
     {
         --count_;
     }
-    CountGuard(const CountGuard &) = delete;
-    CountGuard &operator=(const CountGuard &) = delete;
+    ScopedCounter(const ScopedCounter &) = delete;
+    ScopedCounter &operator=(const ScopedCounter &) = delete;
 
 private:
     std::atomic<std::int64_t> &count_;
 };
 
-Problem problemOfRead(const boost::system::error_code &error)
+Problem problemForReadError(const boost::system::error_code &error)
 {
     Problem problem;
     problem.status = 400;
@@ -62,7 +62,7 @@
     return problem;
 }
 
-/// True when the caller has simply gone, so that no answer can reach it.
+/// True if the caller has disconnected, so that no response can be delivered.
 bool isDisconnect(const boost::system::error_code &error)
 {
     return error == http::error::end_of_stream || error == http::error::partial_message
@@ -70,14 +70,15 @@
            || error == asio::error::operation_aborted || error == asio::error::broken_pipe;
 }
 
-/// Cancels what a stream is doing after a time, but leaves it open, so that the caller can be told.
+/// Cancels pending operations of a stream after a timeout but leaves it open, so that an error
+/// response can still be sent.
 class ReadTimeout
 {
 public:
-    ReadTimeout(beast::tcp_stream &stream, Common::Duration time)
+    ReadTimeout(beast::tcp_stream &stream, Common::Duration timeout)
         : state_(std::make_shared<State>(stream))
     {
-        state_->timer.expires_after(time);
+        state_->timer.expires_after(timeout);
         state_->timer.async_wait([state = state_](const boost::system::error_code &error) {
             if (!error && state->stream != nullptr) {
                 state->expired = true;
@@ -116,27 +117,27 @@
 };
 
 using Parser = http::request_parser<http::string_body>;
-enum class Part { Header, Body };
+enum class MessagePart { Header, Body };
 
-asio::awaitable<boost::system::error_code> readWithin(Common::Duration time,
-                                                      beast::tcp_stream &stream,
-                                                      beast::flat_buffer &buffer, Parser &parser,
-                                                      Part part)
+asio::awaitable<boost::system::error_code> readWithTimeout(Common::Duration timeout,
+                                                           beast::tcp_stream &stream,
+                                                           beast::flat_buffer &buffer,
+                                                           Parser &parser, MessagePart part)
 {
-    const ReadTimeout timeout(stream, time);
+    const ReadTimeout readTimeout(stream, timeout);
     boost::system::error_code error;
-    if (part == Part::Header) {
+    if (part == MessagePart::Header) {
         co_await http::async_read_header(stream, buffer, parser,
                                          asio::redirect_error(asio::use_awaitable, error));
     } else {
         co_await http::async_read(stream, buffer, parser,
                                   asio::redirect_error(asio::use_awaitable, error));
     }
-    co_return timeout.expired() ? beast::error::timeout : error;
+    co_return readTimeout.expired() ? beast::error::timeout : error;
 }
 
 template <typename Message>
-HttpRequest takeRequest(Message &message)
+HttpRequest makeHttpRequest(Message &message)
 {
     HttpRequest request;
     request.method = std::string(message.method_string());
@@ -183,8 +184,8 @@
         auto socket = co_await acceptor_.async_accept(
             context, asio::redirect_error(asio::use_awaitable, error));
         if (error) {
-            // Running out of file descriptors must not turn into a busy loop.
-            co_await Async::sleepFor(AcceptPause);
+            // Prevents a busy loop when the process has run out of file descriptors.
+            co_await Async::sleepFor(AcceptRetryDelay);
             continue;
         }
         if (connections_ >= options_.connectionLimit) {
@@ -197,12 +198,13 @@
 
 asio::awaitable<void> HttpServer::serve(tcp::socket socket)
 {
-    const CountGuard guard(connections_);
+    const ScopedCounter guard(connections_);
     boost::system::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
-    // The kernel grows this buffer to megabytes, which hold tens of thousands of tokens: an engine
-    // would generate them for a caller who has stopped reading, and nobody would slow it down.
-    socket.set_option(asio::socket_base::send_buffer_size(CallerSendBuffer), ignored);
+    // By default the kernel grows this buffer to megabytes, enough for tens of thousands of tokens.
+    // Without a limit, an engine would generate them for a caller that has stopped reading, with no
+    // backpressure.
+    socket.set_option(asio::socket_base::send_buffer_size(CallerSendBufferBytes), ignored);
     beast::tcp_stream stream(std::move(socket));
     co_await serveRequests(stream);
     stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
@@ -211,17 +213,17 @@
 asio::awaitable<void> HttpServer::serveRequests(beast::tcp_stream &stream)
 {
     beast::flat_buffer buffer;
-    bool more = true;
-    while (more) {
+    bool keepAlive = true;
+    while (keepAlive) {
         const auto exchange = co_await readExchange(stream, buffer);
         if (!exchange) {
             co_return;
         }
-        const CountGuard guard(exchanges_);
+        const ScopedCounter guard(exchanges_);
         exchange->watch();
         co_await handler_(*exchange);
         exchange->stopWatching();
-        more = exchange->reusable();
+        keepAlive = exchange->reusable();
     }
 }
 
@@ -232,14 +234,16 @@
     parser.header_limit(options_.headerLimitBytes);
     parser.body_limit(options_.bodyLimitBytes);
     stream.expires_never();
-    auto error = co_await readWithin(options_.idleTimeout, stream, buffer, parser, Part::Header);
+    auto error =
+        co_await readWithTimeout(options_.idleTimeout, stream, buffer, parser, MessagePart::Header);
     if (!error && beast::iequals(parser.get()[http::field::expect], "100-continue")) {
-        const asio::const_buffer interim(Continue.data(), Continue.size());
+        const asio::const_buffer interim(ContinueResponse.data(), ContinueResponse.size());
         co_await asio::async_write(stream, interim,
                                    asio::redirect_error(asio::use_awaitable, error));
     }
     if (!error) {
-        error = co_await readWithin(options_.bodyTimeout, stream, buffer, parser, Part::Body);
+        error = co_await readWithTimeout(options_.bodyTimeout, stream, buffer, parser,
+                                         MessagePart::Body);
     }
     const bool idle =
         error == beast::error::timeout && buffer.size() == 0 && !parser.is_header_done();
@@ -250,9 +254,10 @@
     exchangeOptions.writeTimeout = options_.writeTimeout;
     exchangeOptions.chunked = parser.get().version() >= 11;
     exchangeOptions.keepAlive = !error && parser.get().keep_alive() && !draining_;
-    auto exchange = std::make_unique<Exchange>(stream, takeRequest(parser.get()), exchangeOptions);
+    auto exchange =
+        std::make_unique<Exchange>(stream, makeHttpRequest(parser.get()), exchangeOptions);
     if (error) {
-        co_await exchange->sendProblem(problemOfRead(error));
+        co_await exchange->sendProblem(problemForReadError(error));
         co_return nullptr;
     }
     co_return exchange;
--- a/Source/Core/Entry/HttpServer.h
+++ b/Source/Core/Entry/HttpServer.h
@@ -16,10 +16,10 @@
 
 struct HttpServerOptions
 {
-    /// Time for a caller to send the next request's header, counted from the last answer. Slow and
-    /// idle callers hold a connection no longer than this.
+    /// Time limit for receiving the next request header, counted from the previous response. Limits
+    /// how long slow and idle callers can hold a connection.
     Common::milliseconds idleTimeout{60000};
-    /// Time for the body once the header is there.
+    /// Time limit for receiving the body once the header has been received.
     Common::milliseconds bodyTimeout{15000};
     Common::milliseconds writeTimeout{30000};
     std::uint32_t headerLimitBytes = 16 * 1024;
@@ -27,8 +27,8 @@
     std::int64_t connectionLimit = 20000;
 };
 
-/// Accepts HTTP/1.1 connections and hands each request to a handler coroutine, which answers it
-/// before the next request of that connection is read.
+/// Accepts HTTP/1.1 connections and passes each request to a handler coroutine. The next request on
+/// a connection is read only after the handler has returned.
 class HttpServer
 {
 public:
@@ -36,9 +36,11 @@
 
     HttpServer(Async::IoPool &pool, HttpServerOptions options, Handler handler);
 
-    /// Binds "ip:port" (port 0: any) and accepts. Returns the address bound.
+    /// Binds "ip:port" (port 0 selects any free port) and starts accepting. Returns the bound
+    /// address.
     Common::Result<std::string> listen(const std::string &address);
-    /// From now on each answer closes its connection, so that callers look for another instance.
+    /// From now on each response closes its connection, so that callers reconnect to another
+    /// instance.
     void drain()
     {
         draining_ = true;
@@ -49,7 +51,7 @@
     {
         return connections_;
     }
-    /// Requests read and not yet answered.
+    /// Number of requests that are being handled.
     std::int64_t exchanges() const
     {
         return exchanges_;
@@ -59,7 +61,8 @@
     asio::awaitable<void> accept();
     asio::awaitable<void> serve(asio::ip::tcp::socket socket);
     asio::awaitable<void> serveRequests(beast::tcp_stream &stream);
-    /// Reads one request; answers by itself and returns nothing when it is not fit to be handled.
+    /// Reads one request. Returns null if it cannot be handled, after sending an error response
+    /// where possible.
     asio::awaitable<std::unique_ptr<Exchange>> readExchange(beast::tcp_stream &stream,
                                                             beast::flat_buffer &buffer);
 
--- a/Source/Core/Entry/Problem.cpp
+++ b/Source/Core/Entry/Problem.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::string_view TypePrefix = "urn:laburnumchute:problem:";
 
-std::string title(Common::ErrorCode code)
+std::string titleOf(Common::ErrorCode code)
 {
     std::string text(Common::toString(code));
     std::replace(text.begin(), text.end(), '-', ' ');
@@ -27,7 +27,7 @@
 {
     nlohmann::json document = problem.extra;
     document["type"] = std::string(TypePrefix) + std::string(Common::toString(problem.code));
-    document["title"] = title(problem.code);
+    document["title"] = titleOf(problem.code);
     document["status"] = problem.status;
     document["detail"] = problem.detail;
     document["request_id"] = request.text();
@@ -35,7 +35,7 @@
     if (problem.retryAfter) {
         document["retry_after_s"] = retryAfterSeconds(*problem.retryAfter);
     }
-    // The shape that OpenAI client libraries show to their users.
+    // OpenAI client libraries report errors in this format to their users.
     document["error"] = {{"message", problem.detail},
                          {"type", Common::toString(problem.code)},
                          {"code", Common::toString(problem.code)}};
--- a/Source/Core/Entry/Problem.h
+++ b/Source/Core/Entry/Problem.h
@@ -9,29 +9,29 @@
 
 namespace LaburnumChute::Entry {
 
-/// An error document for callers (RFC 9457) that also says whether the request has run.
+/// A problem document (RFC 9457) that also tells the caller whether the request has run.
 struct Problem
 {
     unsigned status = 500;
     Common::ErrorCode code = Common::ErrorCode::Internal;
     std::string detail;
     Common::RunState run = Common::RunState::NotRun;
-    /// When the caller may try again; sent as Retry-After, in whole seconds, at least 1.
+    /// Delay before the caller may retry; sent as Retry-After in whole seconds, at least 1.
     std::optional<Common::Duration> retryAfter;
-    /// Further members of the document, such as a fresh idempotency key.
+    /// Additional members of the document, such as a new idempotency key.
     nlohmann::json extra = nlohmann::json::object();
 };
 
-/// The document as JSON text.
+/// Serializes the problem document as JSON.
 std::string problemBody(const Problem &problem, const Common::RequestId &request);
 
-/// The whole seconds of Retry-After, rounded up.
+/// Converts a duration to whole seconds for Retry-After: rounded up, at least 1.
 std::int64_t retryAfterSeconds(Common::Duration duration);
 
-/// The HTTP status with which an error of this code is answered.
+/// The HTTP status for an error code.
 unsigned statusOf(Common::ErrorCode code);
 
-/// A problem made from an error, with the status that belongs to its code.
+/// Creates a problem from an error, with the HTTP status for its code.
 Problem problemOf(const Common::Error &error, Common::RunState run);
 
 } // namespace LaburnumChute::Entry
--- a/Source/Core/Entry/StreamContinuation.cpp
+++ b/Source/Core/Entry/StreamContinuation.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 constexpr std::string_view EventEnd = "\n\n";
-/// Before this member stand names and times of the engine, which differ between engines.
+/// The members before this one contain engine names and times, which differ between engines.
 constexpr std::string_view ContentStart = "\"choices\"";
 
 std::uint64_t contentHash(std::string_view event)
@@ -18,31 +18,31 @@
 
 Common::Result<std::string> StreamContinuation::feed(std::string_view events)
 {
-    std::string out;
+    std::string newEvents;
     while (!events.empty()) {
         const auto end = std::min(events.size(), events.find(EventEnd) + EventEnd.size());
         const auto event = events.substr(0, end);
         events.remove_prefix(end);
-        const auto fresh = isNew(event);
-        if (!fresh) {
-            return tl::unexpected(fresh.error());
+        const auto newToCaller = isNew(event);
+        if (!newToCaller) {
+            return tl::unexpected(newToCaller.error());
         }
-        if (*fresh) {
-            out.append(event);
+        if (*newToCaller) {
+            newEvents.append(event);
         }
     }
-    return out;
+    return newEvents;
 }
 
 Common::Result<bool> StreamContinuation::isNew(std::string_view event)
 {
     const auto hash = contentHash(event);
     const auto position = position_++;
-    if (position >= passed_.size()) {
-        passed_.push_back(hash);
+    if (position >= forwardedHashes_.size()) {
+        forwardedHashes_.push_back(hash);
         return true;
     }
-    if (passed_[position] != hash) {
+    if (forwardedHashes_[position] != hash) {
         return Common::makeError(Common::ErrorCode::Conflict,
                                  "another engine generates another answer");
     }
--- a/Source/Core/Entry/StreamContinuation.h
+++ b/Source/Core/Entry/StreamContinuation.h
@@ -9,37 +9,36 @@
 
 namespace LaburnumChute::Entry {
 
-/// Lets another engine continue a stream whose engine has died.
+/// Continues a stream on another engine after its engine has failed, so that the caller does not
+/// get an error in the middle of the response.
 ///
-/// What goes wrong without it: an engine goes down in mid-stream and the caller, who has half an
-/// answer, gets an error. The other engine is given the whole request anew; what it generates is
-/// compared, event by event, with what the caller has, and dropped while it is the same. From then
-/// on its events are passed on, so that the caller sees one answer without a gap. Engines that
-/// sample differently generate something else; then the stream has to be given up, since the halves
-/// do not belong together.
+/// The new engine receives the whole request again. Its events are compared one by one with those
+/// that the caller already has and discarded while they are equal; later events are forwarded, so
+/// that the caller sees one response without a gap. An engine that samples differently generates
+/// other text. The stream then fails, since the two parts do not belong together.
 class StreamContinuation
 {
 public:
-    /// Takes whole events and returns those that are new to the caller. Fails with Conflict when a
-    /// repeated event differs from the one that the caller has.
+    /// Takes whole events and returns those that the caller does not have yet. Fails with Conflict
+    /// if a repeated event differs from the one that the caller has.
     Common::Result<std::string> feed(std::string_view events);
 
-    /// Another engine begins from the start.
+    /// Must be called before feeding the events of another engine, which start from the beginning.
     void restart()
     {
         position_ = 0;
     }
-    /// Events that the caller has.
-    std::size_t passed() const
+    /// Number of events forwarded to the caller.
+    std::size_t forwardedEvents() const
     {
-        return passed_.size();
+        return forwardedHashes_.size();
     }
 
 private:
     Common::Result<bool> isNew(std::string_view event);
 
-    /// What each event said, as a hash, in order.
-    std::vector<std::uint64_t> passed_;
+    /// Content hashes of the forwarded events, in order.
+    std::vector<std::uint64_t> forwardedHashes_;
     std::size_t position_ = 0;
 };
 
--- a/Source/Core/Entry/WholeAnswer.cpp
+++ b/Source/Core/Entry/WholeAnswer.cpp
@@ -7,9 +7,9 @@
 using nlohmann::json;
 
 constexpr std::string_view DataField = "data: ";
-constexpr std::string_view DoneMark = "[DONE]";
+constexpr std::string_view DoneMarker = "[DONE]";
 
-std::string textOf(const json &object, const char *member)
+std::string stringMember(const json &object, const char *member)
 {
     const auto found = object.find(member);
     return found != object.end() && found->is_string() ? found->get<std::string>() : std::string();
@@ -26,7 +26,7 @@
             continue;
         }
         const auto data = line.substr(DataField.size());
-        if (data == DoneMark) {
+        if (data == DoneMarker) {
             continue;
         }
         const auto chunk = json::parse(data, nullptr, false);
@@ -34,16 +34,16 @@
             return Common::makeError(Common::ErrorCode::ProtocolViolation,
                                      "the engine sent an event that is no JSON object");
         }
-        take(chunk);
+        addChunk(chunk);
     }
     return {};
 }
 
-void WholeAnswer::take(const json &chunk)
+void WholeAnswer::addChunk(const json &chunk)
 {
     for (const auto *member : {"id", "created", "model", "system_fingerprint"}) {
-        if (chunk.contains(member) && !head_.contains(member)) {
-            head_[member] = chunk[member];
+        if (chunk.contains(member) && !commonMembers_.contains(member)) {
+            commonMembers_[member] = chunk[member];
         }
     }
     if (chunk.contains("usage") && chunk["usage"].is_object()) {
@@ -53,23 +53,23 @@
     if (choices == chunk.end() || !choices->is_array()) {
         return;
     }
-    for (const auto &part : *choices) {
-        auto &choice = choices_[part.value("index", 0)];
-        choice.text += textOf(part, "text");
-        const auto delta = part.find("delta");
-        if (delta != part.end() && delta->is_object()) {
-            choice.text += textOf(*delta, "content");
-            const auto role = textOf(*delta, "role");
+    for (const auto &choiceChunk : *choices) {
+        auto &choice = choices_[choiceChunk.value("index", 0)];
+        choice.text += stringMember(choiceChunk, "text");
+        const auto delta = choiceChunk.find("delta");
+        if (delta != choiceChunk.end() && delta->is_object()) {
+            choice.text += stringMember(*delta, "content");
+            const auto role = stringMember(*delta, "role");
             choice.role = role.empty() ? choice.role : role;
-            takeToolCalls(choice, delta->value("tool_calls", json::array()));
+            addToolCalls(choice, delta->value("tool_calls", json::array()));
         }
-        if (part.contains("finish_reason") && !part["finish_reason"].is_null()) {
-            choice.finishReason = part["finish_reason"];
+        if (choiceChunk.contains("finish_reason") && !choiceChunk["finish_reason"].is_null()) {
+            choice.finishReason = choiceChunk["finish_reason"];
         }
     }
 }
 
-void WholeAnswer::takeToolCalls(Choice &choice, const json &calls)
+void WholeAnswer::addToolCalls(Choice &choice, const json &calls)
 {
     for (const auto &call : calls) {
         const auto index = call.value("index", choice.toolCalls.size());
@@ -81,15 +81,15 @@
         if (index >= choice.toolCalls.size()) {
             continue;
         }
-        auto &whole = choice.toolCalls[index];
-        const auto id = textOf(call, "id");
+        auto &toolCall = choice.toolCalls[index];
+        const auto id = stringMember(call, "id");
         if (!id.empty()) {
-            whole["id"] = id;
+            toolCall["id"] = id;
         }
         const auto function = call.value("function", json::object());
         for (const auto *member : {"name", "arguments"}) {
-            whole["function"][member] =
-                whole["function"][member].get<std::string>() + textOf(function, member);
+            toolCall["function"][member] =
+                toolCall["function"][member].get<std::string>() + stringMember(function, member);
         }
     }
 }
@@ -111,7 +111,7 @@
 
 std::string WholeAnswer::body() const
 {
-    json document = head_;
+    json document = commonMembers_;
     document["object"] =
         kind_ == ModelCallKind::ChatCompletion ? "chat.completion" : "text_completion";
     document["choices"] = json::array();
--- a/Source/Core/Entry/WholeAnswer.h
+++ b/Source/Core/Entry/WholeAnswer.h
@@ -11,9 +11,9 @@
 
 namespace LaburnumChute::Entry {
 
-/// Puts the streamed chunks of an engine's answer together to the one document that callers get who
-/// did not ask for a stream. Engines are always called streamed, since only a stream can be
-/// resumed, and since only then silence can be told from a long answer.
+/// Assembles the streamed chunks of an engine's response into a single document for callers that
+/// did not ask for a stream. Engines are always asked to stream, since only a stream can be resumed
+/// and since silence cannot be told from a long response otherwise.
 class WholeAnswer
 {
 public:
@@ -22,9 +22,9 @@
     {
     }
 
-    /// Takes whole events.
+    /// Adds whole events.
     Common::Result<void> feed(std::string_view events);
-    /// The document, in OpenAI's shape of "chat.completion" or "text_completion".
+    /// The document in OpenAI's "chat.completion" or "text_completion" format.
     std::string body() const;
 
 private:
@@ -36,13 +36,13 @@
         nlohmann::json finishReason;
     };
 
-    void take(const nlohmann::json &chunk);
-    void takeToolCalls(Choice &choice, const nlohmann::json &calls);
+    void addChunk(const nlohmann::json &chunk);
+    void addToolCalls(Choice &choice, const nlohmann::json &calls);
     nlohmann::json choiceDocument(int index, const Choice &choice) const;
 
     ModelCallKind kind_;
     std::map<int, Choice> choices_;
-    nlohmann::json head_ = nlohmann::json::object();
+    nlohmann::json commonMembers_ = nlohmann::json::object();
     nlohmann::json usage_;
 };
 
--- a/Source/UnitTests/Entry/CallerRequestTest.cpp
+++ b/Source/UnitTests/Entry/CallerRequestTest.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-TEST(CallerHeadersTest, ValuesAreTypedAndNamesAreOfAnyCase)
+TEST(CallerHeadersTest, ParsesValuesAndIgnoresTheCaseOfNames)
 {
     const auto headers = parseCallerHeaders({{"authorization", "Bearer abc"},
                                              {"LABURNUMCHUTE-DEADLINE-MS", "1500"},
@@ -17,7 +17,7 @@
     EXPECT_EQ(headers->repeatable, false);
 }
 
-TEST(CallerHeadersTest, BadValueIsNamed)
+TEST(CallerHeadersTest, ErrorNamesTheInvalidHeader)
 {
     const auto headers = parseCallerHeaders({{"Laburnumchute-Deadline-Ms", "soon"}});
     ASSERT_FALSE(headers);
@@ -26,7 +26,7 @@
               "expected whole milliseconds from 1 to 86400000");
 }
 
-TEST(ModelCallTest, ChatTextAndModelAreRead)
+TEST(ModelCallTest, ParsesChatTextAndModel)
 {
     const auto call = parseModelCall(ModelCallKind::ChatCompletion,
                                      R"({"model":"inscription:brass","stream":true,"max_tokens":7,
@@ -40,7 +40,7 @@
     EXPECT_EQ(call->promptText, "user\na\nassistant\nb\n");
 }
 
-TEST(ModelCallTest, BadBodiesAreRefusedByMember)
+TEST(ModelCallTest, BodiesWithInvalidMembersAreRejected)
 {
     const auto kind = ModelCallKind::ChatCompletion;
     EXPECT_FALSE(parseModelCall(kind, "{"));
@@ -53,7 +53,7 @@
     EXPECT_FALSE(parseModelCall(ModelCallKind::Completion, R"({"model":"m","prompt":[1]})"));
 }
 
-TEST(PrefixTest, EqualStartsHaveEqualHashesAndTheRestDoesNot)
+TEST(PrefixTest, OnlySharedPrefixBlocksHaveEqualHashes)
 {
     const std::string shared(512, 'a');
     const auto left = prefixHashes(shared + std::string(256, 'b'));
--- a/Source/UnitTests/Entry/StreamContinuationTest.cpp
+++ b/Source/UnitTests/Entry/StreamContinuationTest.cpp
@@ -12,21 +12,21 @@
            + "\"}]}\n\n";
 }
 
-// An engine goes down after two tokens of an answer. Another one is given the request and generates
-// the same tokens again. The caller must see each token once.
-TEST(StreamContinuationTest, RepeatedEventsAreDroppedAndNewOnesPassedOn)
+// An engine fails after two tokens. Another engine receives the request and generates the same
+// tokens again. The caller must receive each token once.
+TEST(StreamContinuationTest, RepeatedEventsAreDroppedAndNewOnesForwarded)
 {
     StreamContinuation stream;
-    auto seen = stream.feed(eventText("a", "For ") + eventText("a", "Aiko")).value();
+    auto received = stream.feed(eventText("a", "For ") + eventText("a", "Aiko")).value();
     stream.restart();
     EXPECT_EQ(stream.feed(eventText("b", "For ")).value(), "");
-    seen += stream.feed(eventText("b", "Aiko") + eventText("b", ", 2026")).value();
-    EXPECT_EQ(seen, eventText("a", "For ") + eventText("a", "Aiko") + eventText("b", ", 2026"));
-    EXPECT_EQ(stream.passed(), 3U);
+    received += stream.feed(eventText("b", "Aiko") + eventText("b", ", 2026")).value();
+    EXPECT_EQ(received, eventText("a", "For ") + eventText("a", "Aiko") + eventText("b", ", 2026"));
+    EXPECT_EQ(stream.forwardedEvents(), 3U);
 }
 
-// The second engine samples and says something else. Joining the halves would give the caller a
-// text that nobody generated.
+// The second engine samples different tokens. Joining both parts would give the caller a text that
+// no engine generated.
 TEST(StreamContinuationTest, DifferentTextIsAnError)
 {
     StreamContinuation stream;
--- a/Source/UnitTests/Entry/WholeAnswerTest.cpp
+++ b/Source/UnitTests/Entry/WholeAnswerTest.cpp
@@ -23,7 +23,7 @@
     EXPECT_EQ(document["choices"][0]["finish_reason"], "stop");
 }
 
-TEST(WholeAnswerTest, ArgumentsOfToolCallsAreJoined)
+TEST(WholeAnswerTest, ToolCallArgumentsAreJoined)
 {
     WholeAnswer answer(ModelCallKind::ChatCompletion);
     ASSERT_TRUE(
@@ -39,7 +39,7 @@
     EXPECT_EQ(call["arguments"], "{}");
 }
 
-TEST(WholeAnswerTest, EventThatIsNoObjectIsAnError)
+TEST(WholeAnswerTest, EventThatIsNotAnObjectIsAnError)
 {
     WholeAnswer answer(ModelCallKind::Completion);
     EXPECT_FALSE(answer.feed("data: 7\n\n"));
