--- a/Source/Core/Entry/WholeAnswer.cpp
+++ b/Source/Core/Entry/CompletionAssembler.cpp
@@ -1,4 +1,4 @@
-#include "Entry/WholeAnswer.h"
+#include "Entry/CompletionAssembler.h"
 
 namespace LaburnumChute::Entry {
 
@@ -17,7 +17,7 @@
 
 } // namespace
 
-Common::Result<void> WholeAnswer::feed(std::string_view events)
+Common::Result<void> CompletionAssembler::feed(std::string_view events)
 {
     while (!events.empty()) {
         const auto line = events.substr(0, events.find('\n'));
@@ -39,7 +39,7 @@
     return {};
 }
 
-void WholeAnswer::addChunk(const json &chunk)
+void CompletionAssembler::addChunk(const json &chunk)
 {
     for (const auto *member : {"id", "created", "model", "system_fingerprint"}) {
         if (chunk.contains(member) && !commonMembers_.contains(member)) {
@@ -69,7 +69,7 @@
     }
 }
 
-void WholeAnswer::addToolCalls(Choice &choice, const json &calls)
+void CompletionAssembler::addToolCalls(Choice &choice, const json &calls)
 {
     for (const auto &call : calls) {
         const auto index = call.value("index", choice.toolCalls.size());
@@ -94,7 +94,7 @@
     }
 }
 
-json WholeAnswer::choiceDocument(int index, const Choice &choice) const
+json CompletionAssembler::choiceDocument(int index, const Choice &choice) const
 {
     json document = {
         {"index", index}, {"finish_reason", choice.finishReason}, {"logprobs", nullptr}};
@@ -109,7 +109,7 @@
     return document;
 }
 
-std::string WholeAnswer::body() const
+std::string CompletionAssembler::body() const
 {
     json document = commonMembers_;
     document["object"] =
--- a/Source/Core/Entry/WholeAnswer.h
+++ b/Source/Core/Entry/CompletionAssembler.h
@@ -14,10 +14,10 @@
 /// Assembles the streamed chunks of an engine's response into a single document for callers that
 /// did not ask for a stream. Engines are always asked to stream, since only a stream can be resumed
 /// and since silence cannot be told from a long response otherwise.
-class WholeAnswer
+class CompletionAssembler
 {
 public:
-    explicit WholeAnswer(ModelCallKind kind)
+    explicit CompletionAssembler(ModelCallKind kind)
         : kind_(kind)
     {
     }
--- a/Source/Core/Entry/Entry.h
+++ b/Source/Core/Entry/Entry.h
@@ -4,8 +4,8 @@
 // caller requests, and the problem documents sent in error responses.
 
 #include "Entry/CallerRequest.h"
+#include "Entry/CompletionAssembler.h"
 #include "Entry/Exchange.h"
 #include "Entry/HttpServer.h"
 #include "Entry/Problem.h"
 #include "Entry/StreamContinuation.h"
-#include "Entry/WholeAnswer.h"
--- a/Source/Core/Gateway/CallRunner.h
+++ b/Source/Core/Gateway/CallRunner.h
@@ -125,7 +125,7 @@
     std::unique_ptr<Peers::OutgoingCall> outgoing_;
     std::optional<Ledger::Attempt> ledgerAttempt_;
     std::optional<Ledger::Dispatch> ledgerDispatch_;
-    std::optional<Entry::WholeAnswer> whole_;
+    std::optional<Entry::CompletionAssembler> whole_;
     std::optional<Entry::StreamContinuation> continuation_;
     Ledger::KeptAnswer kept_;
     Common::Time startedAt_;
--- a/Source/UnitTests/Entry/WholeAnswerTest.cpp
+++ b/Source/UnitTests/Entry/CompletionAssemblerTest.cpp
@@ -8,9 +8,9 @@
 
 using nlohmann::json;
 
-TEST(WholeAnswerTest, ChunksBecomeOneChatCompletion)
+TEST(CompletionAssemblerTest, ChunksBecomeOneChatCompletion)
 {
-    WholeAnswer answer(ModelCallKind::ChatCompletion);
+    CompletionAssembler answer(ModelCallKind::ChatCompletion);
     ASSERT_TRUE(
         answer.feed("id: 1\ndata: {\"id\":\"chatcmpl-1\",\"model\":\"m\",\"choices\":[{\"index\":0,"
                     "\"delta\":{\"role\":\"assistant\",\"content\":\"For \"}}]}\n\n"));
@@ -23,9 +23,9 @@
     EXPECT_EQ(document["choices"][0]["finish_reason"], "stop");
 }
 
-TEST(WholeAnswerTest, ToolCallArgumentsAreJoined)
+TEST(CompletionAssemblerTest, ToolCallArgumentsAreJoined)
 {
-    WholeAnswer answer(ModelCallKind::ChatCompletion);
+    CompletionAssembler answer(ModelCallKind::ChatCompletion);
     ASSERT_TRUE(
         answer.feed("data: {\"choices\":[{\"index\":0,\"delta\":{\"tool_calls\":[{\"index\":"
                     "0,\"id\":\"t\",\"function\":{\"name\":\"ticket\",\"arguments\":\"{\"}}]"
@@ -39,9 +39,9 @@
     EXPECT_EQ(call["arguments"], "{}");
 }
 
-TEST(WholeAnswerTest, EventThatIsNotAnObjectIsAnError)
+TEST(CompletionAssemblerTest, EventThatIsNotAnObjectIsAnError)
 {
-    WholeAnswer answer(ModelCallKind::Completion);
+    CompletionAssembler answer(ModelCallKind::Completion);
     EXPECT_FALSE(answer.feed("data: 7\n\n"));
 }
 
