--- a/Source/Core/Gateway/OrderRunner.cpp
+++ b/Source/Core/Gateway/OrderRunner.cpp
@@ -189,7 +189,7 @@
 
 asio::awaitable<void> OrderRunner::readState(Common::EndpointId endpoint, Target target)
 {
-    Readers::HttpQuery query;
+    Readers::HttpClientRequest query;
     query.address = target.address;
     query.target = "/v1/state";
     const auto answer = co_await Readers::fetch(std::move(query));
@@ -214,7 +214,7 @@
     Common::log(Part, Common::LogLevel::Info, "order to engine {}: {} {} {} {} with fence {}",
                 order.endpoint, nameOf(order.order.action), order.order.model, order.order.version,
                 order.order.adapter, order.fence);
-    Readers::HttpQuery query;
+    Readers::HttpClientRequest query;
     query.address = target.address;
     query.method = "POST";
     query.target = "/v1/orders";
--- a/Source/Core/Operator/DumpVerb.cpp
+++ b/Source/Core/Operator/DumpVerb.cpp
@@ -34,7 +34,7 @@
         return complain(invocation, "dump: expected an address and at most one JSON Pointer",
                         StatusUsage);
     }
-    Readers::HttpQuery query;
+    Readers::HttpClientRequest query;
     query.address = invocation.words[0];
     query.target = "/dump";
     query.timeout = invocation.settings.get(TimeoutSetting);
--- a/Source/Core/Operator/OperatorClient.cpp
+++ b/Source/Core/Operator/OperatorClient.cpp
@@ -8,7 +8,7 @@
 
 namespace asio = boost::asio;
 
-using Answer = Common::Result<Readers::HttpAnswer>;
+using Answer = Common::Result<Readers::HttpClientResponse>;
 
 const Common::Setting<Common::milliseconds> TimeoutSetting{
     "timeout",
@@ -22,14 +22,14 @@
 
 namespace {
 
-asio::awaitable<void> fetchInto(Readers::HttpQuery query, Answer &answer)
+asio::awaitable<void> fetchInto(Readers::HttpClientRequest query, Answer &answer)
 {
     answer = co_await Readers::fetch(std::move(query));
 }
 
 } // namespace
 
-std::vector<Answer> fetchAll(const std::vector<Readers::HttpQuery> &queries)
+std::vector<Answer> fetchAll(const std::vector<Readers::HttpClientRequest> &queries)
 {
     asio::io_context context(1);
     std::vector<Answer> answers(queries.size(),
--- a/Source/Core/Operator/OperatorClient.h
+++ b/Source/Core/Operator/OperatorClient.h
@@ -12,7 +12,7 @@
 
 /// Sends all queries at once and waits for all answers, in the order of the queries. Each has its
 /// own timeout, so that one silent gateway does not hide the others.
-std::vector<Common::Result<Readers::HttpAnswer>>
-fetchAll(const std::vector<Readers::HttpQuery> &queries);
+std::vector<Common::Result<Readers::HttpClientResponse>>
+fetchAll(const std::vector<Readers::HttpClientRequest> &queries);
 
 } // namespace LaburnumChute::Operator
--- a/Source/Core/Operator/PatchVerb.cpp
+++ b/Source/Core/Operator/PatchVerb.cpp
@@ -63,7 +63,7 @@
     return StatusDone;
 }
 
-int judge(const Invocation &invocation, const Common::Result<Readers::HttpAnswer> &answer)
+int judge(const Invocation &invocation, const Common::Result<Readers::HttpClientResponse> &answer)
 {
     if (!answer) {
         return complain(invocation, "patch: " + answer.error().message, StatusUnreachable);
@@ -100,7 +100,7 @@
     if (!patch) {
         return complain(invocation, patch.error().message, StatusUnreachable);
     }
-    Readers::HttpQuery query;
+    Readers::HttpClientRequest query;
     query.address = gateway;
     query.method = "POST";
     query.target = fmt::format("/configuration/patch?base={}", base);
--- a/Source/Core/Operator/StatusVerb.cpp
+++ b/Source/Core/Operator/StatusVerb.cpp
@@ -14,7 +14,7 @@
 const Common::Setting<bool> JsonSetting{"json", "operator", false, "Print JSON in place of tables",
                                         "true or false"};
 
-Common::Result<InstanceView> viewOf(const Common::Result<Readers::HttpAnswer> &answer)
+Common::Result<InstanceView> viewOf(const Common::Result<Readers::HttpClientResponse> &answer)
 {
     if (!answer) {
         return tl::unexpected(answer.error());
@@ -24,9 +24,9 @@
 
 FleetStatus ask(const Invocation &invocation)
 {
-    std::vector<Readers::HttpQuery> queries;
+    std::vector<Readers::HttpClientRequest> queries;
     for (const auto &address : invocation.words) {
-        Readers::HttpQuery query;
+        Readers::HttpClientRequest query;
         query.address = address;
         query.target = "/dump";
         query.timeout = invocation.settings.get(TimeoutSetting);
--- a/Source/Core/Readers/ConfigurationReader.cpp
+++ b/Source/Core/Readers/ConfigurationReader.cpp
@@ -17,7 +17,7 @@
 asio::awaitable<Common::Result<std::optional<PublishedVersion>>>
 ConfigurationReader::read(Common::ConfigurationNumber after, Common::milliseconds wait) const
 {
-    HttpQuery request;
+    HttpClientRequest request;
     request.address = address_;
     request.target = fmt::format("/v1/configuration?after={}&wait_ms={}", after, wait.count());
     request.timeout = wait + LongPollMargin;
--- a/Source/Core/Readers/HttpClient.cpp
+++ b/Source/Core/Readers/HttpClient.cpp
@@ -18,7 +18,7 @@
 
 constexpr int HttpVersion = 11;
 
-http::request<http::string_body> makeMessage(const HttpQuery &request)
+http::request<http::string_body> makeMessage(const HttpClientRequest &request)
 {
     http::request<http::string_body> message(http::string_to_verb(request.method), request.target,
                                              HttpVersion);
@@ -32,7 +32,7 @@
     return message;
 }
 
-auto requestError(const HttpQuery &request, const boost::system::error_code &error)
+auto requestError(const HttpClientRequest &request, const boost::system::error_code &error)
 {
     const auto code = error == http::error::body_limit ? Common::ErrorCode::TooLarge
                                                        : Common::ErrorCode::Unavailable;
@@ -41,7 +41,7 @@
 
 } // namespace
 
-asio::awaitable<Common::Result<HttpAnswer>> fetch(HttpQuery request)
+asio::awaitable<Common::Result<HttpClientResponse>> fetch(HttpClientRequest request)
 {
     const auto destination = Async::parseTcpAddress(request.address);
     if (!destination) {
@@ -78,7 +78,7 @@
     if (error) {
         co_return requestError(request, error);
     }
-    HttpAnswer response;
+    HttpClientResponse response;
     response.status = parser.get().result_int();
     for (const auto &field : parser.get()) {
         response.headers.push_back({std::string(field.name_string()), std::string(field.value())});
--- a/Source/Core/Readers/HttpClient.h
+++ b/Source/Core/Readers/HttpClient.h
@@ -11,7 +11,7 @@
 namespace asio = boost::asio;
 
 /// An HTTP/1.1 request. Each request uses its own connection.
-struct HttpQuery
+struct HttpClientRequest
 {
     /// "ip:port".
     std::string address;
@@ -24,7 +24,7 @@
     std::size_t bodyLimitBytes = 2 * 1024 * 1024;
 };
 
-struct HttpAnswer
+struct HttpClientResponse
 {
     unsigned status = 0;
     Common::Headers headers;
@@ -34,6 +34,6 @@
 /// Sends the request and reads the whole response. Errors: InvalidArgument if the address cannot be
 /// parsed, Unavailable if connecting fails, the connection breaks or the timeout expires, TooLarge
 /// if the body exceeds its limit.
-asio::awaitable<Common::Result<HttpAnswer>> fetch(HttpQuery request);
+asio::awaitable<Common::Result<HttpClientResponse>> fetch(HttpClientRequest request);
 
 } // namespace LaburnumChute::Readers
--- a/Source/Core/Readers/InstanceListReader.cpp
+++ b/Source/Core/Readers/InstanceListReader.cpp
@@ -10,7 +10,7 @@
 
 asio::awaitable<Common::Result<InstanceList>> InstanceListReader::read() const
 {
-    HttpQuery request;
+    HttpClientRequest request;
     request.address = address_;
     request.target = "/v1/instances?viewer=" + viewer_.text();
     request.bodyLimitBytes = ListLimitBytes;
--- a/Source/Core/Readers/WeightStoreReader.cpp
+++ b/Source/Core/Readers/WeightStoreReader.cpp
@@ -24,7 +24,7 @@
 
 asio::awaitable<Common::Result<WeightStoreLimits>> WeightStoreReader::readLimits() const
 {
-    HttpQuery request;
+    HttpClientRequest request;
     request.address = address_;
     request.target = "/v1/limits";
     const auto response = co_await fetch(std::move(request));
--- a/Source/UnitTests/Readers/HttpClientTest.cpp
+++ b/Source/UnitTests/Readers/HttpClientTest.cpp
@@ -9,9 +9,9 @@
 
 using AfterResponse = OneShotServer::AfterResponse;
 
-Common::Result<HttpAnswer> get(const std::string &address)
+Common::Result<HttpClientResponse> get(const std::string &address)
 {
-    HttpQuery request;
+    HttpClientRequest request;
     request.address = address;
     request.target = "/thing?a=1";
     request.timeout = Common::milliseconds(300);
