--- a/Source/Core/Entry/Exchange.cpp
+++ b/Source/Core/Entry/Exchange.cpp
@@ -151,8 +151,8 @@
     return !error;
 }
 
-asio::awaitable<bool> Exchange::sendWhole(unsigned status, Common::Headers headers,
-                                          std::string body)
+asio::awaitable<bool> Exchange::sendResponse(unsigned status, Common::Headers headers,
+                                             std::string body)
 {
     http::response<http::string_body> response;
     response.version(HttpVersion);
@@ -185,17 +185,17 @@
     }
     auto body = problemBody(problem, id_);
     if (!started_) {
-        co_return co_await sendWhole(problem.status, std::move(headers), std::move(body));
+        co_return co_await sendResponse(problem.status, std::move(headers), std::move(body));
     }
-    const bool sent = co_await sendPiece("event: error\ndata: " + body + "\n\n");
+    const bool sent = co_await sendChunk("event: error\ndata: " + body + "\n\n");
     closeAfterResponse();
     if (!sent) {
         co_return false;
     }
-    co_return co_await endBody();
+    co_return co_await endResponse();
 }
 
-asio::awaitable<bool> Exchange::startBody(unsigned status, Common::Headers headers)
+asio::awaitable<bool> Exchange::startResponse(unsigned status, Common::Headers headers)
 {
     http::response<http::empty_body> response;
     response.version(HttpVersion);
@@ -216,7 +216,7 @@
     co_return !gone_;
 }
 
-asio::awaitable<bool> Exchange::sendPiece(std::string_view bytes)
+asio::awaitable<bool> Exchange::sendChunk(std::string_view bytes)
 {
     const auto head = std::exchange(pendingHeader_, {});
     const asio::const_buffer headerBuffer(head.data(), head.size());
@@ -234,7 +234,7 @@
     co_return recordWriteResult(error);
 }
 
-asio::awaitable<bool> Exchange::endBody()
+asio::awaitable<bool> Exchange::endResponse()
 {
     const auto head = std::exchange(pendingHeader_, {});
     const asio::const_buffer headerBuffer(head.data(), head.size());
--- a/Source/Core/Entry/Exchange.h
+++ b/Source/Core/Entry/Exchange.h
@@ -73,12 +73,12 @@
 
     /// Sends a complete response. Like all send functions, returns false if the caller has
     /// disconnected.
-    asio::awaitable<bool> sendWhole(unsigned status, Common::Headers headers, std::string body);
+    asio::awaitable<bool> sendResponse(unsigned status, Common::Headers headers, std::string body);
     asio::awaitable<bool> sendProblem(Problem problem);
     /// Starts a streamed response. The header is sent together with the first chunk or the end.
-    asio::awaitable<bool> startBody(unsigned status, Common::Headers headers);
-    asio::awaitable<bool> sendPiece(std::string_view bytes);
-    asio::awaitable<bool> endBody();
+    asio::awaitable<bool> startResponse(unsigned status, Common::Headers headers);
+    asio::awaitable<bool> sendChunk(std::string_view bytes);
+    asio::awaitable<bool> endResponse();
 
     /// True once a response has been started.
     bool started() const
--- a/Source/Core/Gateway/OperatorHandler.cpp
+++ b/Source/Core/Gateway/OperatorHandler.cpp
@@ -50,9 +50,9 @@
 asio::awaitable<void> sendJson(Entry::Exchange &exchange, unsigned status, json document)
 {
     auto headers = typeHeader("application/json");
-    co_await exchange.sendWhole(status, std::move(headers),
-                                document.dump(2, ' ', false, json::error_handler_t::replace)
-                                    + "\n");
+    co_await exchange.sendResponse(status, std::move(headers),
+                                   document.dump(2, ' ', false, json::error_handler_t::replace)
+                                       + "\n");
 }
 
 asio::awaitable<void> sendError(Entry::Exchange &exchange, Common::ErrorCode code,
@@ -118,7 +118,7 @@
         co_await sendJson(exchange, 200, std::move(state));
     } else if (path == "/metrics") {
         auto headers = typeHeader("text/plain; version=0.0.4");
-        co_await exchange.sendWhole(200, std::move(headers), metrics_.prometheusText());
+        co_await exchange.sendResponse(200, std::move(headers), metrics_.prometheusText());
     } else if (path == "/health") {
         const bool ready =
             table_.read([](const RoutingTable &table) { return table.configuration != nullptr; });
@@ -126,7 +126,7 @@
     } else if (path == "/configuration") {
         auto content = co_await Async::runOn(control_, actions_.configurationContent);
         auto headers = typeHeader("application/json");
-        co_await exchange.sendWhole(200, std::move(headers), std::move(content));
+        co_await exchange.sendResponse(200, std::move(headers), std::move(content));
     } else if (path.rfind(TracePrefix, 0) == 0) {
         co_await trace(exchange, path.substr(TracePrefix.size()));
     } else {
--- a/Source/Core/Gateway/RequestHandler.cpp
+++ b/Source/Core/Gateway/RequestHandler.cpp
@@ -48,7 +48,7 @@
 asio::awaitable<void> sendJson(Entry::Exchange &exchange, unsigned status, const json &document)
 {
     Common::Headers headers = {{"Content-Type", "application/json"}};
-    co_await exchange.sendWhole(status, std::move(headers), document.dump());
+    co_await exchange.sendResponse(status, std::move(headers), document.dump());
 }
 
 // gcc 12 cannot compile nested initializer lists inside a coroutine; so documents are made here.
--- a/Source/Core/Gateway/Responder.cpp
+++ b/Source/Core/Gateway/Responder.cpp
@@ -6,7 +6,7 @@
 {
     started_ = true;
     if (const auto *caller = std::get_if<Caller>(&way_)) {
-        co_return co_await (*caller)->startBody(status, std::move(headers));
+        co_return co_await (*caller)->startResponse(status, std::move(headers));
     }
     Peers::AnswerHead head;
     head.status = status;
@@ -17,7 +17,7 @@
 asio::awaitable<bool> Responder::piece(std::string bytes)
 {
     if (const auto *caller = std::get_if<Caller>(&way_)) {
-        co_return co_await (*caller)->sendPiece(bytes);
+        co_return co_await (*caller)->sendChunk(bytes);
     }
     Peers::AnswerPiece piece;
     piece.bytes = std::move(bytes);
@@ -27,7 +27,7 @@
 asio::awaitable<bool> Responder::end()
 {
     if (const auto *caller = std::get_if<Caller>(&way_)) {
-        co_return co_await (*caller)->endBody();
+        co_return co_await (*caller)->endResponse();
     }
     co_return co_await std::get<Peer>(way_)->send(Peers::AnswerEnd());
 }
@@ -36,7 +36,7 @@
 {
     if (const auto *caller = std::get_if<Caller>(&way_)) {
         started_ = true;
-        co_return co_await (*caller)->sendWhole(status, std::move(headers), std::move(body));
+        co_return co_await (*caller)->sendResponse(status, std::move(headers), std::move(body));
     }
     headers.push_back({"Content-Length", std::to_string(body.size())});
     if (!co_await head(status, std::move(headers))) {
