--- a/Source/Core/Gateway/CallRunner.h
+++ b/Source/Core/Gateway/CallRunner.h
@@ -129,7 +129,7 @@
     std::unique_ptr<Peers::OutgoingCall> outgoingCall_;
     std::optional<Ledger::Reservation> ledgerReservation_;
     std::optional<Ledger::Attempt> ledgerAttempt_;
-    std::optional<Entry::WholeAnswer> wholeAnswer_;
+    std::optional<Entry::CompletionAssembler> wholeAnswer_;
     std::optional<Entry::StreamContinuation> continuation_;
     Ledger::KeptAnswer recordedAnswer_;
     Common::Time startedAt_;
--- a/Source/Core/Gateway/OrderRunner.cpp
+++ b/Source/Core/Gateway/OrderRunner.cpp
@@ -189,7 +189,7 @@
 
 asio::awaitable<void> OrderRunner::readState(Common::EndpointId endpoint, Target target)
 {
-    Readers::HttpQuery query;
+    Readers::HttpClientRequest query;
     query.address = target.address;
     query.target = "/v1/state";
     const auto answer = co_await Readers::fetch(std::move(query));
@@ -215,7 +215,7 @@
                 "sending order to engine {}: {} {} {} {} with fence {}", order.endpoint,
                 nameOf(order.order.action), order.order.model, order.order.version,
                 order.order.adapter, order.fence);
-    Readers::HttpQuery query;
+    Readers::HttpClientRequest query;
     query.address = target.address;
     query.method = "POST";
     query.target = "/v1/orders";
--- a/Source/Core/Gateway/Responder.cpp
+++ b/Source/Core/Gateway/Responder.cpp
@@ -6,7 +6,7 @@
 {
     started_ = true;
     if (const auto *caller = std::get_if<Caller>(&receiver_)) {
-        co_return co_await (*caller)->startBody(status, std::move(headers));
+        co_return co_await (*caller)->startResponse(status, std::move(headers));
     }
     Peers::AnswerHead head;
     head.status = status;
@@ -17,7 +17,7 @@
 asio::awaitable<bool> Responder::sendPiece(std::string bytes)
 {
     if (const auto *caller = std::get_if<Caller>(&receiver_)) {
-        co_return co_await (*caller)->sendPiece(bytes);
+        co_return co_await (*caller)->sendChunk(bytes);
     }
     Peers::AnswerPiece piece;
     piece.bytes = std::move(bytes);
@@ -27,7 +27,7 @@
 asio::awaitable<bool> Responder::sendEnd()
 {
     if (const auto *caller = std::get_if<Caller>(&receiver_)) {
-        co_return co_await (*caller)->endBody();
+        co_return co_await (*caller)->endResponse();
     }
     co_return co_await std::get<Peer>(receiver_)->send(Peers::AnswerEnd());
 }
@@ -37,7 +37,7 @@
 {
     if (const auto *caller = std::get_if<Caller>(&receiver_)) {
         started_ = true;
-        co_return co_await (*caller)->sendWhole(status, std::move(headers), std::move(body));
+        co_return co_await (*caller)->sendResponse(status, std::move(headers), std::move(body));
     }
     headers.push_back({"Content-Length", std::to_string(body.size())});
     if (!co_await sendHead(status, std::move(headers))) {
--- a/Source/Core/Readers/HttpClient.h
+++ b/Source/Core/Readers/HttpClient.h
@@ -10,8 +10,8 @@
 
 namespace asio = boost::asio;
 
-/// One HTTP/1.1 request, sent on a connection of its own.
-struct HttpQuery
+/// An HTTP/1.1 request. Each request uses its own connection.
+struct HttpClientRequest
 {
     /// "ip:port".
     std::string address;
@@ -19,21 +19,21 @@
     std::string target;
     Common::Headers headers;
     std::string body;
-    /// For the whole exchange, connecting included.
+    /// For the whole exchange, including the connection setup.
     Common::milliseconds timeout{2000};
     std::size_t bodyLimitBytes = 2 * 1024 * 1024;
 };
 
-struct HttpAnswer
+struct HttpClientResponse
 {
     unsigned status = 0;
     Common::Headers headers;
     std::string body;
 };
 
-/// Sends the query and reads the whole answer. Errors: InvalidArgument for an address that cannot
-/// be read, Unavailable for a connection that fails, breaks or is silent until the timeout,
-/// TooLarge.
-asio::awaitable<Common::Result<HttpAnswer>> fetch(HttpQuery query);
+/// Sends the request and reads the whole response. Errors: InvalidArgument if the address cannot be
+/// parsed, Unavailable if connecting fails, the connection breaks or the timeout expires, TooLarge
+/// if the body exceeds its limit.
+asio::awaitable<Common::Result<HttpClientResponse>> fetch(HttpClientRequest request);
 
 } // namespace LaburnumChute::Readers
