--- a/Source/Core/Gateway/OperatorHandler.cpp
+++ b/Source/Core/Gateway/OperatorHandler.cpp
@@ -52,8 +52,8 @@
 {
     auto headers = typeHeader("application/json");
     co_await exchange.sendResponse(status, std::move(headers),
-                                document.dump(2, ' ', false, json::error_handler_t::replace)
-                                    + "\n");
+                                   document.dump(2, ' ', false, json::error_handler_t::replace)
+                                       + "\n");
 }
 
 asio::awaitable<void> sendError(Entry::Exchange &exchange, Common::ErrorCode code,
--- a/Source/Core/Relay/RelayKnowledge.cpp
+++ b/Source/Core/Relay/RelayKnowledge.cpp
@@ -156,7 +156,8 @@
         return;
     }
     if (sender.region == settings_.region) {
-        if (const auto share = Peers::decodeValue<Dispatch::RegionLoadReport>(heartbeat.loadReport)) {
+        if (const auto share =
+                Peers::decodeValue<Dispatch::RegionLoadReport>(heartbeat.loadReport)) {
             applyEffects(scheduler_.setRegionLoadReport(sender.id, *share, now), now);
         }
     } else if (const auto share =
@@ -237,7 +238,7 @@
     roster_.setReady(ready());
     roster_.setStoreContact(store_.answerAge(now), store_.settled(now));
     roster_.setLoadReports(Peers::encodeValue(scheduler_.regionLoadReport(now)),
-                      Peers::encodeValue(scheduler_.crossRegionLoadReport(now)));
+                           Peers::encodeValue(scheduler_.crossRegionLoadReport(now)));
     sendAll(roster_.tick(now));
     fleetChanged(now);
 }
